--- a/cedarledge/__main__.py
+++ b/cedarledge/__main__.py
@@ -10,7 +10,7 @@
 from cedarledge.net import signals
 
 if TYPE_CHECKING:
-    from cedarledge.net.config import StartingOrders
+    from cedarledge.net.config import RelayConfig
     from cedarledge.net.relay import ReadOperatorFile, Relay
     from cedarledge.operator.file import OperatorFile
 
@@ -31,7 +31,7 @@
         except BadFileError as why:
             raise BadConfigError("; ".join(why.problems)) from why
         first.append(wanted)
-        changed = first[0].changed_in_place(wanted)
+        changed = first[0].changed_restart_only(wanted)
         del first[1:]
         if changed:
             raise BadConfigError(f"[{changed[0]}] in {path} has changed, which takes a restart")
@@ -40,23 +40,23 @@
     return read
 
 
-def _joins(relay: Relay, orders: StartingOrders, wanted: OperatorFile) -> None:
-    if wanted.things_on():
+def _joins(relay: Relay, config: RelayConfig, wanted: OperatorFile) -> None:
+    if wanted.enabled_tables():
         from cedarledge.fleet import join
 
-        join(relay, orders, wanted)
+        join(relay, config, wanted)
 
 
 def start(operator_file: str | None = None) -> int:
     """Runs the relay and gives its exit code; 2 where it could not start, with one line that says why."""
-    from cedarledge.net.config import START_TRIES, BadConfigError, read_orders
+    from cedarledge.net.config import START_READ_ATTEMPTS, BadConfigError, read_config
     from cedarledge.net.relay import run
 
     try:
-        orders = read_orders(os.environ, START_TRIES)
+        config = read_config(os.environ, START_READ_ATTEMPTS)
         if operator_file is None:
-            return run(orders)
-        return run(orders, _reader(operator_file), joins=_joins)
+            return run(config)
+        return run(config, _reader(operator_file), joins=_joins)
     except BadConfigError as why:
         sys.stderr.write(f"cedarledge: {why}\n")
         return CAN_NOT_START
@@ -74,7 +74,7 @@
 def main() -> int:
     if sys.argv[1:2] in ([], ["relay"]):
         # Before all that takes time to import: told to end in its first 0.3 s, a relay ends as any other.
-        signals.hold_back()
+        signals.block()
     if len(sys.argv) == 1 and "_CEDARLEDGE_COMPLETE" not in os.environ:
         return start()
     try:
--- a/cedarledge/cli.py
+++ b/cedarledge/cli.py
@@ -73,7 +73,7 @@
         told = load_scenario(file) if scenario else read_operator_file(file)
     except BadFileError as why:
         _refuse(why)
-    on = [] if scenario else told.things_on()
+    on = [] if scenario else told.enabled_tables()
     click.echo(f"{file}: good" + (f"; on: {', '.join(on)}" if on else ""))
 
 
--- a/cedarledge/fleet.py
+++ b/cedarledge/fleet.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from cedarledge import __version__
-from cedarledge.net.config import BadConfigError, StartingOrders
+from cedarledge.net.config import BadConfigError, RelayConfig
 from cedarledge.net.relay import Relay
 from cedarledge.net.seams import Hearer
 from cedarledge.operator.file import OperatorFile, PeersTable
@@ -51,24 +51,24 @@
     return blake2b(json.dumps(told, sort_keys=True).encode(), digest_size=6).hexdigest()
 
 
-def join(relay: Relay, orders: StartingOrders, wanted: OperatorFile) -> None:
-    logger.info("on by the operator file: {}", ", ".join(wanted.things_on()))
+def join(relay: Relay, config: RelayConfig, wanted: OperatorFile) -> None:
+    logger.info("on by the operator file: {}", ", ".join(wanted.enabled_tables()))
     if wanted.peers.on:
-        join_peers(relay, orders, wanted.peers)
+        join_peers(relay, config, wanted.peers)
 
 
-def join_peers(relay: Relay, orders: StartingOrders, table: PeersTable) -> Peers:
-    if not re.fullmatch(PLAIN, orders.name) or not 0 < len(orders.name) <= 64:
+def join_peers(relay: Relay, config: RelayConfig, table: PeersTable) -> Peers:
+    if not re.fullmatch(PLAIN, config.name) or not 0 < len(config.name) <= 64:
         raise BadConfigError(
-            f"peers are on, and the relay's name is not 1 to 64 plain characters: {orders.name!r}"
+            f"peers are on, and the relay's name is not 1 to 64 plain characters: {config.name!r}"
         )
     newcomers = Newcomers()
     relay.listens(newcomers)
-    zone = str(orders.settings.get("zone") or "").encode("ascii", "replace").decode()[:64]
-    digest = digest_of(orders.settings)
+    zone = str(config.settings.get("zone") or "").encode("ascii", "replace").decode()[:64]
+    digest = digest_of(config.settings)
 
     def tells() -> dict[str, Value]:
-        state = "leaving" if relay.service.ending else "away" if relay.service.why_not_ready() else "ready"
+        state = "leaving" if relay.service.stopping else "away" if relay.service.why_not_ready() else "ready"
         return {
             "state": state,
             "zone": zone,
@@ -82,9 +82,9 @@
     reactor = relay.context.reactor
     shell = Shell(reactor, relay.timers, table.listen, tells)
     pace = Pace(int(table.probe_every_ms * MS), int(table.probe_every_ms * MS * 2 // 5))
-    # Not the seed of its orders: a relay that is started again with the same ones must have another life.
+    # Not the seed of its config: a relay that is started again with the same ones must have another life.
     seed = int.from_bytes(os.urandom(8), "big")
-    machine = Peers(shell, table.fleet, orders.name, table.told or table.listen, table.seeds, pace, seed)
+    machine = Peers(shell, table.fleet, config.name, table.told or table.listen, table.seeds, pace, seed)
     shell.join(machine)
     reactor.addSystemEventTrigger("before", "shutdown", shell.leave)
     return machine
--- a/cedarledge/net/audit.py
+++ b/cedarledge/net/audit.py
@@ -65,7 +65,7 @@
                 self._look_at(handle, tunnel, now)
         if now - self._told_at >= SUMMARY_EVERY:
             self._told_at = now
-            self.tell()
+            self.log_summary()
 
     def _look_at(self, handle: int, tunnel: Tunnel, now: int) -> None:
         deadline = tunnel.request.deadline
@@ -91,18 +91,18 @@
     def _timers_stuck(self, late: int) -> None:
         self._invariants.broken(Invariant.STUCK_TIMERS, f"the first was due {late // MS} ms ago")
 
-    def tell(self) -> None:
+    def log_summary(self) -> None:
         """One line of counts, where they have changed."""
         text = f"{self._tunnels.counts()}, {self.clock_steps} clock steps, {self._invariants.summary()}"
         if text != self._told:
             self._told = text
             logger.info("{}", text)
 
-    def end(self) -> None:
+    def final_check(self) -> None:
         """The last look, as the relay ends: nobody may be left without an answer."""
         self._timers.cancel(self._due)
         for handle in self._tunnels.table.handles():
             tunnel = self._tunnels.table.get(handle)
             if tunnel is not None and not tunnel.over:
                 self._broken(Invariant.CLOSED_UNANSWERED, handle, tunnel)
-        self.tell()
+        self.log_summary()
--- a/cedarledge/net/boxlist.py
+++ b/cedarledge/net/boxlist.py
@@ -5,9 +5,9 @@
 from collections.abc import Collection, Mapping
 from typing import Any
 
-from cedarledge.net.config import Address, address_of
-from cedarledge.net.hearers import Hearers
+from cedarledge.net.config import Address, parse_address
 from cedarledge.net.module import Module
+from cedarledge.net.observers import Observers
 from cedarledge.net.start_times import StartTimes
 from cedarledge.settings import Indices, mark_of
 from cedarledge.terms import MS, BackendState, Listed, ListForm
@@ -25,9 +25,9 @@
     runs from when discovery wrote it. What operators say of a box is merged in here: one that they have taken
     out reaches the module as one that drains, whatever the list says of it."""
 
-    def __init__(self, module: Module, hearers: Hearers, settings: Mapping[str, Any]) -> None:
+    def __init__(self, module: Module, observers: Observers, settings: Mapping[str, Any]) -> None:
         self.module = module
-        self.hearers = hearers
+        self.observers = observers
         self.eps = Indices()
         self.zones = Indices(settings.get("dcs"))
         self.kinds = Indices(settings.get("host_types"))
@@ -45,7 +45,7 @@
         standing = PHASES.get(told["phase"], BackendState.DRAINING)
         ep = self.eps[told["id"]]
         if standing is not BackendState.GONE:
-            self.addresses[ep] = address_of(told["host_port"])
+            self.addresses[ep] = parse_address(told["host_port"])
         if standing is BackendState.READY and ep in self.banned:
             standing = BackendState.DRAINING
         # One that was put back was started anew while it was out; the list may learn of that later.
@@ -89,7 +89,7 @@
 
     def lost(self) -> None:
         self.module.tell(self.module.balancer.list_changed, ListForm.UNAVAILABLE, [])
-        self.hearers.tell("listed", ListForm.UNAVAILABLE, [])
+        self.observers.notify("listed", ListForm.UNAVAILABLE, [])
 
     def changed(self, form: ListForm, entries: list[Listed]) -> None:
         if form is not ListForm.CHANGES:
@@ -97,7 +97,7 @@
         self.ready -= {entry.ep for entry in entries}
         self.ready |= {entry.ep for entry in entries if entry.standing is BackendState.READY}
         self.module.tell(self.module.balancer.list_changed, form, entries)
-        self.hearers.tell("listed", form, entries)
+        self.observers.notify("listed", form, entries)
 
     def set_aside(self, names: Collection[str]) -> None:
         """What the operator wants nothing new sent to. A box that is not on the list yet is known by its
--- a/cedarledge/net/clients.py
+++ b/cedarledge/net/clients.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.interfaces import IAddress
 
-from cedarledge.net.doors import Door
+from cedarledge.net.evicting_listener import EvictingListener
 from cedarledge.net.invariants import Invariant
 from cedarledge.net.lines import figure
 from cedarledge.net.links import ConnectionContext, Link
@@ -109,7 +109,7 @@
         self.owes_answer = False  # a whole request was read, and no word of an answer said
 
     def came_up(self) -> None:
-        self.listener.lives(self)
+        self.listener.mark_waiting(self)
         # From connecting on: half lines and PINGs put nothing off. Where this process was paused the line may
         # lie here unread, and its client is owed an answer.
         self.due_in(FIRST_LINE_WITHIN, self.finish, reads_first=True)
@@ -120,7 +120,7 @@
         else:
             super().dataReceived(data)
             if self.tun < 0 and self.lines.waiting and not self.ending:
-                self.listener.lives(self)
+                self.listener.mark_waiting(self)
 
     def lines_came(self, lines: list[bytes]) -> None:
         if self.is_open:
@@ -132,7 +132,7 @@
         elif lines[0] == b"PING":
             # To the system at once: from here on it may be reset to make room.
             self.send_lines([b"ERR" if self.listener.away else b"PONG"])
-            self.listener.answered(self)
+            self.listener.mark_answered(self)
         else:
             self._first_line(lines[0])
 
@@ -143,7 +143,7 @@
             self.bad_input(f"{why}: {line[:80]!r}")
             return
         self.nothing_due()
-        self.listener.keep(self)
+        self.listener.protect(self)
         self.owes_answer = True
         self.tun = self.taker.arrived(self, opening)
 
@@ -161,11 +161,11 @@
             self.taker.client_ended(self.tun, abrupt)
 
     def writeConnectionLost(self) -> None:  # noqa: N802
-        self.listener.answered(self)
+        self.listener.mark_answered(self)
 
     def _gone(self) -> None:
         super()._gone()
-        self.listener.gone(self)
+        self.listener.forget(self)
         if self.owes_answer:
             self.context.invariants.broken(Invariant.CLOSED_UNANSWERED, f"tunnel {self.tun}")
 
@@ -193,12 +193,12 @@
         self.finish()
 
 
-class Listener(Door):
+class Listener(EvictingListener):
     """Takes clients in. Strangers who connect by hundreds and say nothing must not keep the others out; only
     where nobody can make room do newcomers wait in the system's queue.
     """
 
-    room = ROOM
+    spare_slots = ROOM
 
     def __init__(self, context: ConnectionContext, taker: Taker) -> None:
         super().__init__(context)
@@ -207,7 +207,7 @@
         self.away = False  # out of service: the front that asks is to deal no clients to this relay
 
     def buildProtocol(self, addr: IAddress) -> ClientLink | None:  # noqa: N802
-        self.make_room()
+        self.evict_idle()
         if self.context.links.left <= LAST_ROOM:
             # Refused here by closing; a socket more might be the one that ends the process.
             self.context.rate_limited_log.about("client", "no slot is left")
@@ -216,8 +216,8 @@
             return None
         return ClientLink(self)
 
-    def gone(self, link: Link) -> None:
-        super().gone(link)
+    def forget(self, link: Link) -> None:
+        super().forget(link)
         self.came_free()
 
     def came_free(self) -> None:
--- a/cedarledge/net/config.py
+++ b/cedarledge/net/config.py
@@ -18,18 +18,18 @@
 # Of opening and reading a file: it may be read in a moment.
 NOT_READ = NOT_NOW | {errno.EIO}
 # How often a start tries to read its file, and how far apart in seconds.
-START_TRIES, READ_AGAIN = 20, 0.05
+START_READ_ATTEMPTS, READ_AGAIN = 20, 0.05
 
 
 class BadConfigError(Exception):
     """The relay can't start, or go on, with what it was told."""
 
 
-class ShortageError(BadConfigError):
+class TransientConfigError(BadConfigError):
     """The file can't be read for want of something that this machine may have in a moment."""
 
 
-class StartingOrders(NamedTuple):
+class RelayConfig(NamedTuple):
     name: str
     listen: Address
     discovery: Address
@@ -41,7 +41,7 @@
     settings: dict[str, Any]
 
 
-def address_of(text: str) -> Address:
+def parse_address(text: str) -> Address:
     host, colon, port = text.rpartition(":")
     if not colon or not host or not 0 < int(port) < 65536:
         raise ValueError(f"no address: {text!r}")
@@ -50,7 +50,7 @@
 
 def _control_address(told: Any) -> Address:
     try:
-        return address_of(told)
+        return parse_address(told)
     except (ValueError, AttributeError) as why:
         raise ValueError(f"control: expected an address and a port, got {told!r}") from why
 
@@ -83,12 +83,12 @@
             if why.errno not in NOT_READ:
                 raise BadConfigError(f"{path}: {why.strerror}") from why
             if not left:
-                raise ShortageError(f"{path}: {why.strerror}") from why
+                raise TransientConfigError(f"{path}: {why.strerror}") from why
         time.sleep(READ_AGAIN)
     raise ValueError(f"tries: {tries}")
 
 
-def read_orders(environ: Mapping[str, str], tries: int = 1) -> StartingOrders:
+def read_config(environ: Mapping[str, str], tries: int = 1) -> RelayConfig:
     """What BALANCER_CONFIG's file tells. With more tries than one it waits in between for a file that can't
     be read for a moment. Raises BadConfigError; ShortageError where another try may read it."""
     path = environ.get("BALANCER_CONFIG")
@@ -101,10 +101,10 @@
     try:
         # The platform's word to this process goes before the file's, which two processes may share.
         control = environ.get("BALANCER_CONTROL") or told.get("control")
-        orders = StartingOrders(
+        config = RelayConfig(
             name=str(told["name"]),
-            listen=address_of(told["listen"]),
-            discovery=address_of(told["discovery"]),
+            listen=parse_address(told["listen"]),
+            discovery=parse_address(told["discovery"]),
             control=None if control is None else _control_address(control),
             inherited=_listening(environ.get("BALANCER_LISTEN_FD")),
             seed=int(told["seed"], 16),
@@ -112,8 +112,8 @@
             known=dict(told["known"]),
             settings=told["settings"],
         )
-        check_settings(orders.settings)
-        return orders
+        check_settings(config.settings)
+        return config
     except KeyError as why:
         raise BadConfigError(f"{path}: {why} is missing") from why
     except (TypeError, ValueError, AttributeError) as why:
--- a/cedarledge/net/control.py
+++ b/cedarledge/net/control.py
@@ -10,9 +10,9 @@
 from twisted.internet.interfaces import IAddress
 
 from cedarledge.net.buffers import Pool
-from cedarledge.net.doors import AT_A_TIME, Door
+from cedarledge.net.evicting_listener import ACCEPTS_PER_TURN, EvictingListener
 from cedarledge.net.links import ConnectionContext, Link
-from cedarledge.net.service import Service, UnknownError
+from cedarledge.net.service import ServiceState, UnknownBackendError
 from cedarledge.net.slots import Slots
 from cedarledge.terms import MS
 
@@ -21,11 +21,11 @@
 
 # Callers at a time, in descriptors that clients can't take; and of these, what is kept free: that many may
 # come in before one that was made to leave has left.
-MOST_CALLERS, ROOM = 24, 10
+MAX_CALLERS, ROOM = 24, 10
 # No call comes near these; what is longer is not read on.
-LONGEST_HEAD, LONGEST_BODY = 8 << 10, 64 << 10
+MAX_HEAD_BYTES, MAX_BODY_BYTES = 8 << 10, 64 << 10
 # For a whole call, from connecting on.
-WHOLE_WITHIN = 2000 * MS
+CALL_TIMEOUT = 2000 * MS
 READY, BACKENDS = "/control/ready", "/control/backends/"
 CALLS = {"/control": ("out-of-service", "in-service"), BACKENDS: ("offline", "online")}
 REASONS = {
@@ -82,7 +82,7 @@
         if self._call is None:
             self._data += data
             end = self._data.find(b"\r\n\r\n")
-            if (end if end >= 0 else len(self._data)) > LONGEST_HEAD:
+            if (end if end >= 0 else len(self._data)) > MAX_HEAD_BYTES:
                 raise CallError(431, "a head past all measure")
             if end < 0:
                 return None
@@ -111,7 +111,7 @@
         length = fields.get("content-length", "0")
         if not (length.isascii() and length.isdecimal()):
             raise CallError(400, f"no length: {length[:60]!r}")
-        if len(length) > 9 or int(length) > LONGEST_BODY:
+        if len(length) > 9 or int(length) > MAX_BODY_BYTES:
             raise CallError(413, "a body past all measure")
         return Call(words[0], words[1].partition("?")[0]), int(length)
 
@@ -128,8 +128,8 @@
         self.reader = CallReader()
 
     def came_up(self) -> None:
-        self.control.lives(self)
-        self.due_in(WHOLE_WITHIN, self._too_late, reads_first=True)
+        self.control.mark_waiting(self)
+        self.due_in(CALL_TIMEOUT, self._too_late, reads_first=True)
 
     def _too_late(self) -> None:
         self.answer(Answer(408, "no whole call in time"))
@@ -145,45 +145,45 @@
             self.answer(why.answer)
             return
         if call is None:
-            self.control.lives(self)
+            self.control.mark_waiting(self)
         else:
-            self.control.keep(self)
+            self.control.protect(self)
             self.nothing_due()
             self.control.carry_out(call, self.answer)
 
     def answer(self, answer: Answer) -> None:
         if not self.ending:
-            self.control.keep(self)
+            self.control.protect(self)
             self.transport.write(answer.line())
             self.finish()
 
     def writeConnectionLost(self) -> None:  # noqa: N802
         # Only once the answer is written: who makes room is reset, and it would go with that.
-        self.control.answered(self)
+        self.control.mark_answered(self)
 
     def peer_ended(self, abrupt: bool) -> None:
         """It asked for nothing that goes on without it."""
 
     def _gone(self) -> None:
         super()._gone()
-        self.control.gone(self)
+        self.control.forget(self)
 
 
-class Control(Door):
+class Control(EvictingListener):
     """The operators' front. Callers that hold a connection and ask nothing make room for the next."""
 
-    room = ROOM
+    spare_slots = ROOM
 
-    def __init__(self, context: ConnectionContext, service: Service, handover: Handover | None) -> None:
-        super().__init__(context._replace(links=Slots(MOST_CALLERS), pool=Pool(0, 0)))
+    def __init__(self, context: ConnectionContext, service: ServiceState, handover: Handover | None) -> None:
+        super().__init__(context._replace(links=Slots(MAX_CALLERS), pool=Pool(0, 0)))
         self.service = service
         self.handover = handover  # to another process of this relay, where there can be one
 
     def buildProtocol(self, addr: IAddress) -> CallLink | None:  # noqa: N802
-        self.make_room()
+        self.evict_idle()
         # After a pause of this process Twisted would take in 24 in its next turn, more than have a place: the
         # first of them would make room for the last before their calls were read.
-        self.context.timers.after(0, setattr, self.port, "numberAccepts", AT_A_TIME)
+        self.context.timers.after(0, setattr, self.port, "numberAccepts", ACCEPTS_PER_TURN)
         return CallLink(self) if self.context.links.left else None
 
     def carry_out(self, call: Call, answer: Callable[[Answer], None]) -> None:
@@ -208,16 +208,16 @@
             logger.info("operator: {}: {} {}", call.path, done.status, done.text)
             if done.status == 200 and self.handover is not None:
                 # What one of the two is told both know before the yes.
-                self.handover.pass_on(last, name, lambda: answer(done))
+                self.handover.forward(last, name, lambda: answer(done))
             else:
                 answer(done)
 
     def _act(self, what: str, name: str) -> Answer:
-        if what == "in-service" and self.service.ending and not self.service.replaced:
+        if what == "in-service" and self.service.stopping and not self.service.replaced:
             return Answer(409, "this process ends")
         try:
-            self.service.calls[what](*((name,) if name else ()))
-        except UnknownError:
+            self.service.operations[what](*((name,) if name else ()))
+        except UnknownBackendError:
             return Answer(404, f"no list has named a backend {name[:80]}")
         except Exception:
             # Whoever called is owed an answer, and the others theirs.
--- a/cedarledge/net/doors.py
+++ b/cedarledge/net/evicting_listener.py
@@ -16,13 +16,13 @@
 
 # Twisted takes in up to 20 more at a time than it is told to, and they fit into the room that is kept: a
 # place comes free only after them.
-AT_A_TIME = 4
+ACCEPTS_PER_TURN = 4
 BACKLOG = 1024
 # How often, and how far apart in seconds, a listener is opened where this machine lacks something for it.
 LISTEN_TRIES, LISTEN_AGAIN = 20, 0.05
 
 
-class Door(ServerFactory):
+class EvictingListener(ServerFactory):
     """Takes callers in, and has those leave that hold a connection for nothing where places run short: first
     who has had its answer, then who has given no sign of life for longest, by a byte or by connecting. By age
     alone a true caller that is slow to write would be among the first to go in a crowd. Who has sent nothing
@@ -30,15 +30,15 @@
     first of them."""
 
     noisy = False
-    room = 0  # with less than this left each newcomer takes the place of another
+    spare_slots = 0  # with less than this left each newcomer takes the place of another
 
     def __init__(self, context: ConnectionContext) -> None:
         self.context = context
         self.port: Any = None
         # Each in the order in which they came to be there.
-        self.leaving: dict[Link, None] = {}  # all is said, and the peer has not ended its side
+        self.answered: dict[Link, None] = {}  # all is said, and the peer has not ended its side
         self.waiting: dict[Link, None] = {}  # no whole call has come
-        self.going: set[Link] = set()  # made to leave, their slots about to come free
+        self.evicted: set[Link] = set()  # made to leave, their slots about to come free
 
     def open(self, address: Address, inherited: int | None = None) -> None:
         """On a socket of its own, or on the one that this process inherited by that descriptor."""
@@ -48,7 +48,7 @@
             os.set_blocking(inherited, False)
             # The reactor makes one of its own; the inherited one stays, as SIGHUP has it looked at again.
             self.port = self.context.reactor.adoptStreamPort(inherited, socket.AF_INET, self)
-        self.port.numberAccepts = AT_A_TIME
+        self.port.numberAccepts = ACCEPTS_PER_TURN
 
     def _listen(self, host: str, port: int) -> Any:
         """Raises CannotListenError. Nothing is served yet, so it may wait."""
@@ -62,41 +62,41 @@
             time.sleep(LISTEN_AGAIN)
         return self.context.reactor.listenTCP(port, self, backlog=BACKLOG, interface=host)
 
-    def make_room(self) -> None:
+    def evict_idle(self) -> None:
         # Twisted would take in a hundred and more before it lets one of those go that make room.
-        self.port.numberAccepts = AT_A_TIME
+        self.port.numberAccepts = ACCEPTS_PER_TURN
         # A newcomer that becomes a tunnel takes a second slot for its setup, so it may be more than one.
-        while self.context.links.left + len(self.going) <= self.room and (
-            held := self.leaving or self.waiting
+        while self.context.links.left + len(self.evicted) <= self.spare_slots and (
+            held := self.answered or self.waiting
         ):
             link = next(iter(held))
             del held[link]
-            self.going.add(link)
+            self.evicted.add(link)
             link.abort()
 
-    def lives(self, link: Link) -> None:
+    def mark_waiting(self, link: Link) -> None:
         """It has connected, or more of its call has come and not the whole."""
-        if link not in self.going:
-            self.keep(link)
+        if link not in self.evicted:
+            self.protect(link)
             self.waiting[link] = None
 
-    def answered(self, link: Link) -> None:
+    def mark_answered(self, link: Link) -> None:
         """All is said to it, for now at least."""
-        if link not in self.going:
-            self.keep(link)
-            self.leaving[link] = None
+        if link not in self.evicted:
+            self.protect(link)
+            self.answered[link] = None
 
-    def keep(self, link: Link) -> None:
+    def protect(self, link: Link) -> None:
         """It makes room for nobody."""
-        self.leaving.pop(link, None)
+        self.answered.pop(link, None)
         self.waiting.pop(link, None)
 
     def turn_away(self) -> None:
         """All who hold a connection and have not asked for anything whole."""
-        for link in (*self.leaving, *self.waiting):
+        for link in (*self.answered, *self.waiting):
             if not link.ending:  # or its last answer might go with it
                 link.abort()
 
-    def gone(self, link: Link) -> None:
-        self.keep(link)
-        self.going.discard(link)
+    def forget(self, link: Link) -> None:
+        self.protect(link)
+        self.evicted.discard(link)
--- a/cedarledge/net/handover.py
+++ b/cedarledge/net/handover.py
@@ -24,13 +24,13 @@
 from twisted.internet.protocol import Protocol, ServerFactory
 from twisted.python.failure import Failure
 
-from cedarledge.net import beliefs
+from cedarledge.net import learned_state
 from cedarledge.net.backends import Once
 from cedarledge.net.boxlist import BoxList
 from cedarledge.net.discovery import Watch
 from cedarledge.net.links import ConnectionContext
 from cedarledge.net.seams import Front
-from cedarledge.net.service import Service, UnknownError
+from cedarledge.net.service import ServiceState, UnknownBackendError
 from cedarledge.net.timers import Timer
 from cedarledge.net.tunnels import Tunnels
 from cedarledge.settings import mark_of
@@ -39,24 +39,24 @@
 # Of what is told. Another version is not understood, and who asks in one goes on alone.
 VERSION = 2
 # How long the old one may take to answer: the new one has 6 s for its whole start.
-ANSWER_WITHIN = 1.5
+ANSWER_TIMEOUT_S = 1.5
 # How long the old one takes no connections in without a word that the new one does.
 LEASE = 1500 * MS
 # For the other process to say that it has heard a call; operators are owed their answer within 1 s.
-HEARD_WITHIN = 500 * MS
-TELL_HELD = 250 * MS
+ACKNOWLEDGE_WITHIN = 500 * MS
+REPORT_HELD_EVERY = 250 * MS
 # No list comes near this; a message past it is not read on.
-LONGEST = 8 << 20
-LONGEST_FOLDER = 60
+MAX_MESSAGE_BYTES = 8 << 20
+MAX_FOLDER_PATH_BYTES = 60
 # Of the fields of /proc/PID/stat behind the process's name.
-STARTED_AT_FIELD = 19
+START_TIME_FIELD = 19
 
 
-class NotFollowedError(Exception):
+class HandoverMessageError(Exception):
     """What the other side says can't be used."""
 
 
-class Estate(NamedTuple):
+class HandoverState(NamedTuple):
     """What the old process leaves to the new one."""
 
     until: int  # on the clock that all processes of a machine share: the lease's end
@@ -74,17 +74,17 @@
     unix_offset: int | None = None
 
 
-def read_estate(line: bytes) -> Estate:
+def parse_handover_state(line: bytes) -> HandoverState:
     told = read_message(line)
     if told.get("version") != VERSION:
-        raise NotFollowedError(f"version {told.get('version')!r}: {str(told.get('no'))[:80]}")
+        raise HandoverMessageError(f"version {told.get('version')!r}: {str(told.get('no'))[:80]}")
     try:
-        estate = Estate(**told["estate"])
+        estate = HandoverState(**told["estate"])
     except (KeyError, TypeError) as why:
-        raise NotFollowedError(f"not an estate: {why!r}") from why
-    wrong = [name for name, is_right in RIGHT.items() if not is_right(getattr(estate, name))]
+        raise HandoverMessageError(f"not an estate: {why!r}") from why
+    wrong = [name for name, is_right in FIELD_CHECKS.items() if not is_right(getattr(estate, name))]
     if wrong:
-        raise NotFollowedError(f"not an estate: {', '.join(wrong)}")
+        raise HandoverMessageError(f"not an estate: {', '.join(wrong)}")
     return estate
 
 
@@ -96,7 +96,7 @@
     return type(value) is dict and all(type(time) is int for time in value.values())
 
 
-RIGHT: dict[str, Callable[[Any], bool]] = {
+FIELD_CHECKS: dict[str, Callable[[Any], bool]] = {
     "until": _is_number,
     "revision": lambda value: value is None or _is_number(value),
     "members": lambda value: type(value) is list and all(type(entry) is dict for entry in value),
@@ -115,42 +115,42 @@
     try:
         told = json.loads(line)
     except (ValueError, RecursionError) as why:
-        raise NotFollowedError(f"not JSON: {why}") from why
+        raise HandoverMessageError(f"not JSON: {why}") from why
     if not isinstance(told, dict):
-        raise NotFollowedError("not an object")
+        raise HandoverMessageError("not an object")
     return told
 
 
-def line_of(**told: Any) -> bytes:
-    return json.dumps(told, separators=(",", ":")).encode() + b"\n"
+def encode_message(**fields: Any) -> bytes:
+    return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
 
 
-def is_ours(link: socket.socket) -> bool:
+def is_same_user(link: socket.socket) -> bool:
     """Whether the peer runs as the same user as this process."""
     user = struct.unpack("3i", link.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))[1]
     return user == os.getuid()
 
 
-class Found(NamedTuple):
+class PredecessorReply(NamedTuple):
     """The process before: the connection to it, what it leaves, and what more it has said by then."""
 
     link: socket.socket
-    estate: Estate
+    estate: HandoverState
     rest: bytes
 
 
-def ask(folder: Path, name: str) -> Found | None:
+def ask_predecessor(folder: Path, name: str) -> PredecessorReply | None:
     """The process before, the newest first; None where there is none that answers. It waits, as nothing is
     served yet."""
-    by = time.monotonic() + ANSWER_WITHIN
-    paths = set(folder.glob(own_path(folder, name, "*").name)) - {own_path(folder, name)}
+    by = time.monotonic() + ANSWER_TIMEOUT_S
+    paths = set(folder.glob(socket_path(folder, name, "*").name)) - {socket_path(folder, name)}
     for path in sorted(paths, key=_process_started_at, reverse=True):
         link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            return Found(link, *_ask(link, path, name, by))
+            return PredecessorReply(link, *_exchange(link, path, name, by))
         except (ConnectionRefusedError, FileNotFoundError):
             logger.info("handover: {} is left over, nobody listens there", path.name)
-        except (OSError, NotFollowedError) as why:
+        except (OSError, HandoverMessageError) as why:
             logger.warning("handover: {}: {}", path.name, why)
         link.close()
     return None
@@ -165,10 +165,10 @@
     except OSError:
         return 0
     # The second field is a name in parentheses, and may hold anything.
-    return int(status.rpartition(")")[2].split()[STARTED_AT_FIELD])
+    return int(status.rpartition(")")[2].split()[START_TIME_FIELD])
 
 
-def _ask(link: socket.socket, path: Path, name: str, by: float) -> tuple[Estate, bytes]:
+def _exchange(link: socket.socket, path: Path, name: str, by: float) -> tuple[HandoverState, bytes]:
     def left() -> float:
         if time.monotonic() >= by:
             raise TimeoutError("no answer in time")
@@ -176,35 +176,35 @@
 
     link.settimeout(left())
     link.connect(str(path))
-    if not is_ours(link):
-        raise NotFollowedError("another user's")
-    link.sendall(line_of(version=VERSION, name=name))
+    if not is_same_user(link):
+        raise HandoverMessageError("another user's")
+    link.sendall(encode_message(version=VERSION, name=name))
     data = bytearray()
     while b"\n" not in data:
         link.settimeout(left())
         part = link.recv(1 << 16)
         if not part:
-            raise NotFollowedError("it ended before its answer did")
+            raise HandoverMessageError("it ended before its answer did")
         data += part
-        if len(data) > LONGEST:
-            raise NotFollowedError("an answer past all measure")
+        if len(data) > MAX_MESSAGE_BYTES:
+            raise HandoverMessageError("an answer past all measure")
     line, _, rest = bytes(data).partition(b"\n")
-    return read_estate(line), rest
+    return parse_handover_state(line), rest
 
 
-def _reachable(folder: Path) -> Path:
+def _short_path(folder: Path) -> Path:
     """The folder by a path that leaves room for a name in a Unix socket's address, of 108 bytes in all."""
-    if len(os.fsencode(folder)) <= LONGEST_FOLDER or not folder.is_dir():
+    if len(os.fsencode(folder)) <= MAX_FOLDER_PATH_BYTES or not folder.is_dir():
         return folder
     # Kept for as long as this process runs: the system follows the descriptor to the folder.
     return Path(f"/proc/self/fd/{os.open(folder, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)}")
 
 
-def own_path(folder: Path, name: str, process: int | str = "") -> Path:
+def socket_path(folder: Path, name: str, process: int | str = "") -> Path:
     return folder / f"cedarledge-{mark_of(name):x}-{process or os.getpid()}.sock"
 
 
-class Peer(Protocol):
+class PeerProcess(Protocol):
     """The connection to the other process. It is the handover's until it is lost."""
 
     transport: Any
@@ -214,26 +214,26 @@
         self.rest = b""
 
     def connectionMade(self) -> None:  # noqa: N802
-        if not is_ours(self.transport.socket):
+        if not is_same_user(self.transport.socket):
             logger.warning("handover: another user's process asked")
             self.transport.abortConnection()
 
-    def tell(self, **told: Any) -> None:
-        self.transport.write(line_of(**told))
+    def send(self, **fields: Any) -> None:
+        self.transport.write(encode_message(**fields))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         *lines, self.rest = (self.rest + data).split(b"\n")
         try:
             for line in lines:
-                self.handover.heard(self, read_message(line))
-            if len(self.rest) > LONGEST:
-                raise NotFollowedError("a message past all measure")
-        except NotFollowedError as why:
+                self.handover.message_received(self, read_message(line))
+            if len(self.rest) > MAX_MESSAGE_BYTES:
+                raise HandoverMessageError("a message past all measure")
+        except HandoverMessageError as why:
             logger.warning("handover: {}", why)
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        self.handover.lost(self)
+        self.handover.connection_lost(self)
 
 
 class Handover(ServerFactory):
@@ -246,7 +246,7 @@
         context: ConnectionContext,
         folder: Path,
         name: str,
-        service: Service,
+        service: ServiceState,
         boxes: BoxList,
         tunnels: Tunnels,
         listener: Front,
@@ -255,22 +255,22 @@
         self.reactor = context.reactor
         self.timers = context.timers
         self.links = context.links
-        self.folder = _reachable(folder)
+        self.folder = _short_path(folder)
         self.name = name
         self.service = service
         self.boxes = boxes
         self.tunnels = tunnels
         self.listener = listener
         self.watching = watching
-        self.before: Peer | None = None  # the process that this one took over from
-        self.after: Peer | None = None  # the one that takes over from this one
-        self._lease: Timer | None = None
-        self._calls = count(1)
-        self._unheard: dict[int, tuple[Peer, Timer, Callable[[], None]]] = {}
+        self.predecessor: PeerProcess | None = None  # the process that this one took over from
+        self.successor: PeerProcess | None = None  # the one that takes over from this one
+        self._lease_timer: Timer | None = None
+        self._call_numbers = count(1)
+        self._unacknowledged: dict[int, tuple[PeerProcess, Timer, Callable[[], None]]] = {}
 
     def listen(self) -> None:
         """A process that can't be asked still serves; the next one then goes on alone."""
-        path = own_path(self.folder, self.name)
+        path = socket_path(self.folder, self.name)
         mask = os.umask(0o177)
         try:
             path.unlink(missing_ok=True)
@@ -280,8 +280,8 @@
         finally:
             os.umask(mask)
 
-    def buildProtocol(self, addr: IAddress) -> Peer:  # noqa: N802
-        return Peer(self)
+    def buildProtocol(self, addr: IAddress) -> PeerProcess:  # noqa: N802
+        return PeerProcess(self)
 
     # -- taking over -------------------------------------------------------------------------------
 
@@ -289,25 +289,25 @@
         """From the process before, if there is one that answers. The listener is to be opened next: that one
         leaves it to this one for as long as the lease."""
         for _ in range(2):
-            found = ask(self.folder, self.name)
+            found = ask_predecessor(self.folder, self.name)
             if found is None:
                 break
-            self._keep(found)
+            self._adopt_connection(found)
             try:
-                self._follow(found.estate)
+                self._import_state(found.estate)
             except (KeyError, TypeError, ValueError, AttributeError) as why:
                 logger.warning("handover: what the process before leaves can't be used: {!r}", why)
-                self._give_up()
+                self._abandon()
                 break
             if time.monotonic_ns() < found.estate.until:
                 logger.info("handover: takes over")
-                self.before.tell(taken=True)
+                self.predecessor.send(taken=True)
                 return
             # This process was held up past the lease, and the one before takes connections in again.
-            self._give_up()
+            self._abandon()
         logger.info("handover: goes on alone")
 
-    def _follow(self, estate: Estate) -> None:
+    def _import_state(self, estate: HandoverState) -> None:
         eps, shared_now = self.boxes.eps, time.monotonic_ns()
         own_offset = self.timers.now() - shared_now
         # The wall clock may have been stepped between the starts of the two.
@@ -317,77 +317,79 @@
         self.boxes.banned = {eps[name]: since + shift for name, since in estate.banned.items()}
         self.boxes.back = {eps[name]: at + shift for name, at in estate.back.items()}
         self.boxes.take_in(ListForm.WHOLE, estate.members)
-        beliefs.follow(self.boxes.module.balancer, self.boxes.kinds, estate.beliefs, self.timers.now())
+        learned_state.import_state(
+            self.boxes.module.balancer, self.boxes.kinds, estate.beliefs, self.timers.now()
+        )
         self.watching.go_on_from(estate.revision)
         self.tunnels.ids_before = frozenset(estate.ids)
         self.tunnels.begun = True
         self.links.lent = estate.held
         if estate.away:
-            self.service.go_out()
+            self.service.leave_service()
 
-    def _keep(self, found: Found) -> None:
+    def _adopt_connection(self, found: PredecessorReply) -> None:
         """The connection stays, on the reactor from here on."""
         link, _, rest = found
         link.setblocking(False)
         try:
-            self.before = Peer(self)
-            self.service.takes_over = True
-            self.reactor.adoptStreamConnection(link.fileno(), socket.AF_UNIX, Once(self.before))
+            self.predecessor = PeerProcess(self)
+            self.service.taking_over = True
+            self.reactor.adoptStreamConnection(link.fileno(), socket.AF_UNIX, Once(self.predecessor))
         finally:
             link.close()  # the reactor has its own
         # After what is left: that is followed first.
-        self.timers.after(0, self.before.dataReceived, rest)
+        self.timers.after(0, self.predecessor.dataReceived, rest)
 
-    def _give_up(self) -> None:
-        before, self.before = self.before, None
-        self.service.takes_over = False
+    def _abandon(self) -> None:
+        before, self.predecessor = self.predecessor, None
+        self.service.taking_over = False
         self.links.lent = 0
         self.tunnels.ids_before = frozenset()
         before.transport.abortConnection()
 
-    def end(self) -> None:
+    def detach(self) -> None:
         """This process ends, and takes nothing in for all that the other one's connection goes with it."""
-        self.before = self.after = None
+        self.predecessor = self.successor = None
 
     # -- what the other process says ---------------------------------------------------------------
 
-    def heard(self, peer: Peer, told: dict[str, Any]) -> None:
+    def message_received(self, peer: PeerProcess, told: dict[str, Any]) -> None:
         if "version" in told:
-            self._asked(peer, told)
-        elif peer not in (self.before, self.after):
-            raise NotFollowedError("a stranger's message")
+            self._takeover_requested(peer, told)
+        elif peer not in (self.predecessor, self.successor):
+            raise HandoverMessageError("a stranger's message")
         elif "taken" in told:
-            self._taken(peer)
+            self._takeover_confirmed(peer)
         elif type(told.get("held")) is int:
-            self._lend(max(0, told["held"]))
+            self._set_lent(max(0, told["held"]))
         elif "do" in told:
-            self._do(told["do"], told.get("name", ""))
-            peer.tell(done=told.get("call"))
+            self._run_operation(told["do"], told.get("name", ""))
+            peer.send(done=told.get("call"))
         elif type(told.get("done")) is int:
-            self._was_heard(told["done"])
+            self._acknowledged(told["done"])
         else:
-            raise NotFollowedError(f"unknown: {sorted(told)[:5]}")
+            raise HandoverMessageError(f"unknown: {sorted(told)[:5]}")
 
-    def _lend(self, held: int) -> None:
+    def _set_lent(self, held: int) -> None:
         # A listener that stopped for want of room hears of no connection of its own that has gone.
         self.links.lent = held
         self.listener.came_free()
 
-    def _asked(self, peer: Peer, told: dict[str, Any]) -> None:
+    def _takeover_requested(self, peer: PeerProcess, told: dict[str, Any]) -> None:
         if told["version"] != VERSION or told.get("name") != self.name:
             logger.warning("handover: asked by {} in version {}", told.get("name"), told["version"])
-            peer.tell(version=VERSION, no="another version or another relay")
+            peer.send(version=VERSION, no="another version or another relay")
             return
-        if self.after is not None:
+        if self.successor is not None:
             logger.warning("handover: asked again, the last who asked is given up")
-            self.after.transport.abortConnection()
+            self.successor.transport.abortConnection()
         logger.info("handover: a new process asks; nothing more is taken in here")
-        self.after = peer
+        self.successor = peer
         self.listener.hold_back()
         # The other's word that it has taken over may lie unread where this process was paused.
-        self._lease = self.timers.after_reading(LEASE, self._lapsed, peer)
+        self._lease_timer = self.timers.after_reading(LEASE, self._lease_expired, peer)
         names, shared_now = self.boxes.eps.names, time.monotonic_ns()
-        estate = Estate(
+        estate = HandoverState(
             shared_now + LEASE,
             self.watching.revision,
             list(self.boxes.listed.values()),
@@ -395,80 +397,84 @@
             {names[ep]: at for ep, at in self.boxes.back.items()},
             self.listener.away,
             sorted(self.tunnels.ids),
-            self._held(),
-            beliefs.told_of(self.boxes.module.balancer, self.boxes.kinds, self.timers.now()),
+            self._descriptors_held(),
+            learned_state.export_state(self.boxes.module.balancer, self.boxes.kinds, self.timers.now()),
             self.timers.now() - shared_now,
             self.boxes.start_times.unix_offset(shared_now),
         )
-        peer.tell(version=VERSION, estate=estate._asdict())
+        peer.send(version=VERSION, estate=estate._asdict())
 
-    def _held(self) -> int:
+    def _descriptors_held(self) -> int:
         return len(os.listdir("/proc/self/fd")) + self.links.lent
 
-    def _lapsed(self, peer: Peer) -> None:
+    def _lease_expired(self, peer: PeerProcess) -> None:
         logger.warning("handover: the new process did not take over in time")
         peer.transport.abortConnection()
 
-    def _taken(self, peer: Peer) -> None:
-        if peer is not self.after:
-            raise NotFollowedError("it took over unasked")
-        self.timers.cancel(self._lease)
+    def _takeover_confirmed(self, peer: PeerProcess) -> None:
+        if peer is not self.successor:
+            raise HandoverMessageError("it took over unasked")
+        self.timers.cancel(self._lease_timer)
         self.service.replaced = True
         logger.info("handover: the new process serves; {} tunnels are left here", self.tunnels.table.used)
-        self._tell_held(peer)
+        self._report_held(peer)
 
-    def _tell_held(self, peer: Peer) -> None:
-        if peer is self.after:
-            peer.tell(held=self._held())
-            self.timers.after(TELL_HELD, self._tell_held, peer)
+    def _report_held(self, peer: PeerProcess) -> None:
+        if peer is self.successor:
+            peer.send(held=self._descriptors_held())
+            self.timers.after(REPORT_HELD_EVERY, self._report_held, peer)
 
-    def lost(self, peer: Peer) -> None:
-        for call, (asked, _, _) in list(self._unheard.items()):
+    def connection_lost(self, peer: PeerProcess) -> None:
+        for call, (asked, _, _) in list(self._unacknowledged.items()):
             if asked is peer:
-                self._was_heard(call)
-        if peer is self.before:
+                self._acknowledged(call)
+        if peer is self.predecessor:
             logger.info("handover: the process before has ended")
-            self.before = None
-            self.service.takes_over = False
+            self.predecessor = None
+            self.service.taking_over = False
             self.tunnels.ids_before = frozenset()
-            self._lend(0)
-        elif peer is self.after:
+            self._set_lent(0)
+        elif peer is self.successor:
             # It died, or never took over: whoever waits in the system's queue is this process's again.
             logger.warning("handover: the new process is gone; this one serves on")
-            self.timers.cancel(self._lease)
-            self.after = None
+            self.timers.cancel(self._lease_timer)
+            self.successor = None
             self.service.replaced = False
             self.listener.go_on()
 
     # -- what operators call -----------------------------------------------------------------------
 
-    def pass_on(self, what: str, name: str, then: Callable[[], None]) -> None:
+    def forward(self, what: str, name: str, then: Callable[[], None]) -> None:
         """Tells the other process, and then calls; a little later all the same where that one hangs, since
         it can do no harm meanwhile."""
-        peer = self.after or self.before
+        peer = self.successor or self.predecessor
         if peer is None:
             then()
             return
-        call = next(self._calls)
-        self._unheard[call] = peer, self.timers.after_reading(HEARD_WITHIN, self._hangs, call), then
-        peer.tell(do=what, name=name, call=call)
+        call = next(self._call_numbers)
+        self._unacknowledged[call] = (
+            peer,
+            self.timers.after_reading(ACKNOWLEDGE_WITHIN, self._acknowledgement_late, call),
+            then,
+        )
+        peer.send(do=what, name=name, call=call)
 
-    def _hangs(self, call: int) -> None:
+    def _acknowledgement_late(self, call: int) -> None:
         logger.warning("handover: the other process did not say that it heard a call")
-        self._was_heard(call)
+        self._acknowledged(call)
 
-    def _was_heard(self, call: int) -> None:
-        _, due, then = self._unheard.pop(call, (None, None, None))
+    def _acknowledged(self, call: int) -> None:
+        _, due, then = self._unacknowledged.pop(call, (None, None, None))
         if then is not None:
             self.timers.cancel(due)
             then()
 
-    def _do(self, what: Any, name: Any) -> None:
-        if not isinstance(what, str) or what not in self.service.calls or not isinstance(name, str):
-            raise NotFollowedError(f"no call: {str(what)[:40]}")
+    def _run_operation(self, what: Any, name: Any) -> None:
+        if not isinstance(what, str) or what not in self.service.operations or not isinstance(name, str):
+            raise HandoverMessageError(f"no call: {str(what)[:40]}")
         try:
-            self.service.calls[what](*((name,) if name else ()))
-        except UnknownError:
+            self.service.operations[what](*((name,) if name else ()))
+        except UnknownBackendError:
             logger.info("handover: {} {}: not known here", what, name)
         except TypeError as why:
-            raise NotFollowedError(f"no call: {what}") from why
+            raise HandoverMessageError(f"no call: {what}") from why
--- a/cedarledge/net/beliefs.py
+++ b/cedarledge/net/learned_state.py
@@ -16,7 +16,7 @@
 Sums = list[float]
 
 
-def told_of(balancer: Balancer, kinds: Indices, now: int) -> dict[str, Any]:
+def export_state(balancer: Balancer, kinds: Indices, now: int) -> dict[str, Any]:
     """Loads by profile, capacities by kind, and the rate at which backends may be filled."""
     state = balancer.state
     return {
@@ -30,7 +30,7 @@
     }
 
 
-def follow(balancer: Balancer, kinds: Indices, told: Mapping[str, Any], now: int) -> None:
+def import_state(balancer: Balancer, kinds: Indices, told: Mapping[str, Any], now: int) -> None:
     """Raises KeyError, TypeError or ValueError for what is none of the above, and then changes nothing."""
     state = balancer.state
     loads = [_figures(pair, 2) for pair in told["loads"]]
--- a/cedarledge/net/logs.py
+++ b/cedarledge/net/logs.py
@@ -16,18 +16,18 @@
 
 TEXT = "{time:HH:mm:ss.SSS} {level} {message}"
 # A pipe that can be written to takes this much without making the writer wait.
-AT_ONCE = 4096
-WAITING = 256 << 10
+MAX_WRITE_BYTES = 4096
+MAX_BUFFERED_BYTES = 256 << 10
 
 
-class NeverWaiting:
+class NonBlockingSink:
     """A log sink on a file descriptor. Lines that its reader is not ready for wait within a bound; past it
     they are dropped, and how many is said once there is room: a reader that stops must cost lines, never a
     placement."""
 
-    def __init__(self, fd: int, most: int = WAITING) -> None:
+    def __init__(self, fd: int, max_bytes: int = MAX_BUFFERED_BYTES) -> None:
         self._fd = fd
-        self.most = most
+        self.max_bytes = max_bytes
         self._waiting: deque[bytes] = deque()
         self._size = 0
         self.dropped = 0
@@ -37,7 +37,7 @@
 
     def __call__(self, message: str) -> None:
         line = message.encode("utf-8", "replace")
-        if self._size + len(line) > self.most:
+        if self._size + len(line) > self.max_bytes:
             self.dropped += 1
         else:
             self._waiting.append(line)
@@ -49,7 +49,7 @@
             line = self._waiting.popleft()
             self._size -= len(line)
             try:
-                written = os.write(self._fd, line[:AT_ONCE])
+                written = os.write(self._fd, line[:MAX_WRITE_BYTES])
             except OSError:
                 # Its reader has gone for good; who stays is owed service, with or without a log.
                 self.dropped += 1
@@ -87,14 +87,14 @@
 
 
 @cache
-def _stderr() -> NeverWaiting:
+def _stderr() -> NonBlockingSink:
     """One for the process: what waits in it, and what it has dropped, outlive a change of how lines look."""
-    return NeverWaiting(sys.stderr.fileno())
+    return NonBlockingSink(sys.stderr.fileno())
 
 
-def log_to_stderr(level: str, form: str = "text", waiting: int = WAITING) -> None:
+def log_to_stderr(level: str, form: str = "text", waiting: int = MAX_BUFFERED_BYTES) -> None:
     """Sends all log lines there; called again it replaces how. LOGURU_LEVEL goes before the level given."""
-    _stderr().most = waiting
+    _stderr().max_bytes = waiting
     logger.remove()
     logger.add(
         _stderr(),
@@ -104,6 +104,6 @@
     )
 
 
-def begin_logging() -> None:
+def redirect_twisted_log() -> None:
     """Once a process: Twisted's log is taken over."""
     globalLogBeginner.beginLoggingTo([_from_twisted], redirectStandardIO=False, discardBuffer=True)
--- a/cedarledge/net/relay.py
+++ b/cedarledge/net/relay.py
@@ -19,20 +19,20 @@
 from cedarledge.net.boxlist import BoxList
 from cedarledge.net.buffers import Pool
 from cedarledge.net.clients import SPARE_LINKS, Listener
-from cedarledge.net.config import BadConfigError, ShortageError, StartingOrders, read_orders
+from cedarledge.net.config import BadConfigError, RelayConfig, TransientConfigError, read_config
 from cedarledge.net.discovery import Watch
 from cedarledge.net.echoes import Delays, Echoes
-from cedarledge.net.hearers import Hearers
 from cedarledge.net.invariants import Invariants
 from cedarledge.net.lines import BUFFER_SIZE
 from cedarledge.net.links import ConnectionContext
-from cedarledge.net.logs import begin_logging, log_to_stderr
+from cedarledge.net.logs import log_to_stderr, redirect_twisted_log
 from cedarledge.net.module import MakeBalancer, Module
+from cedarledge.net.observers import Observers
 from cedarledge.net.paces import Paces
 from cedarledge.net.rate_limited_log import RateLimitedLog
 from cedarledge.net.reactor import install_reactor
 from cedarledge.net.seams import Front, Hearer
-from cedarledge.net.service import Service
+from cedarledge.net.service import ServiceState
 from cedarledge.net.slots import Slots
 from cedarledge.net.timers import Timer, Timers, steady_clock
 from cedarledge.net.tunnels import Tunnels
@@ -59,7 +59,7 @@
 # How soon a new configuration is read again that this machine could not read.
 RELOAD_AGAIN = 100 * MS
 ReadOperatorFile = Callable[[], "OperatorFile"]
-Joins = Callable[["Relay", StartingOrders, "OperatorFile"], None]
+Joins = Callable[["Relay", RelayConfig, "OperatorFile"], None]
 
 
 def _may_hold(sockets: int) -> int:
@@ -75,12 +75,12 @@
     """The assembly: makes every part, tells each of those it works with, and owns nothing that a part could
     own."""
 
-    def __init__(self, reactor: Any, orders: StartingOrders, balancer: MakeBalancer = Balancer) -> None:
-        settings = orders.settings
+    def __init__(self, reactor: Any, config: RelayConfig, balancer: MakeBalancer = Balancer) -> None:
+        settings = config.settings
         self.clock = steady_clock()
         self.timers = Timers(reactor, self.clock)
-        files = _may_hold(orders.sockets)
-        most = files - OWN_FILES - (CONTROL_FILES if orders.control else 0)
+        files = _may_hold(config.sockets)
+        most = files - OWN_FILES - (CONTROL_FILES if config.control else 0)
         if most < 2 * SPARE_LINKS:
             raise BadConfigError(f"{files} descriptors are too few")
         self.context = ConnectionContext(
@@ -92,10 +92,10 @@
             RateLimitedLog(self.timers),
             Invariants(),
         )
-        self.hearers = Hearers(self.clock, self.timers)
+        self.observers = Observers(self.clock, self.timers)
         self.module = Module(self.clock, self.timers)
         try:
-            self.boxes = BoxList(self.module, self.hearers, settings)
+            self.boxes = BoxList(self.module, self.observers, settings)
             # Names may be numbers there; on the wire they are words.
             self.profiles, tenants = (
                 {str(row["name"]): place for place, row in enumerate(settings.get(kind) or ())}
@@ -104,17 +104,17 @@
             # Clients say whole milliseconds.
             waits = [max(MS, int(row["client_timeout"]) * US or LONGEST_STOP) for row in settings["profiles"]]
             # Clients' lines come back at once however slow the backend's messages are; they show hangs alone.
-            facts = deployment_settings(settings, orders.seed, self.clock(), self.boxes.zones)._replace(
+            facts = deployment_settings(settings, config.seed, self.clock(), self.boxes.zones)._replace(
                 delays_told=False
             )
             allowed, reports = settings["allowed"], settings.get("load_report") or {}
             connect_within = int(allowed["connect_timeout"]) * US or LONGEST_STOP  # 0: no limit is told
-            known = self.boxes.known_at_start(orders.known["members"])
+            known = self.boxes.known_at_start(config.known["members"])
             self.watching = Watch(
                 reactor,
                 self.timers,
-                orders.discovery,
-                int(orders.known["revision"]),
+                config.discovery,
+                int(config.known["revision"]),
                 facts.ask_every,
                 not facts.must_ask,
                 self.module.chance,
@@ -126,7 +126,7 @@
                 self.context,
                 self.module,
                 self.boxes,
-                self.hearers,
+                self.observers,
                 (most - SPARE_LINKS - min(len(known), SPARE_LINKS)) // 2,
                 self.profiles,
                 tenants,
@@ -156,43 +156,45 @@
         self.tunnels.join(self.backends, Echoes(self.clock, self.timers, in_lines, self.tunnels.silent))
         self.module.join(self.tunnels, self.backends, self.boxes, self.watching)
         self.front: Front = Listener(self.context, self.tunnels)
-        self.service = Service(self.timers, self.module, self.boxes, self.tunnels, self.backends, self.front)
+        self.service = ServiceState(
+            self.timers, self.module, self.boxes, self.tunnels, self.backends, self.front
+        )
         self.audit = Audit(self.timers, self.tunnels, self.context.invariants)
         self.handover: Handover | None = None
         self.ended = False
         self._reload_again: Timer | None = None
         self.listeners: list[Hearer] = []
         self.module.start(facts, balancer)
-        self.boxes.take_in(ListForm.RESTORED, orders.known["members"])
+        self.boxes.take_in(ListForm.RESTORED, config.known["members"])
         if not facts.must_ask:
             # Where the module is told of changes unasked, it leaves the asking to its host.
             self.watching.start()
 
-    def open(self, orders: StartingOrders) -> None:
+    def open(self, config: RelayConfig) -> None:
         """Raises CannotListenError."""
-        if orders.inherited is not None:
+        if config.inherited is not None:
             from cedarledge.net.handover import Handover
 
             folder = Path(os.environ.get("TMPDIR") or gettempdir())
             self.handover = Handover(
                 self.context,
                 folder,
-                orders.name,
+                config.name,
                 self.service,
                 self.boxes,
                 self.tunnels,
                 self.front,
                 self.watching,
             )
-        if orders.control is not None:
+        if config.control is not None:
             from cedarledge.net.control import Control
 
-            Control(self.context, self.service, self.handover).open(orders.control)
+            Control(self.context, self.service, self.handover).open(config.control)
         if self.handover is not None:
             self.handover.take_over()
-        self.front.open(orders.listen, orders.inherited)
+        self.front.open(config.listen, config.inherited)
         self.audit.start()
-        self.service.opened = True
+        self.service.listening = True
         if self.handover is not None:
             self.handover.listen()
 
@@ -208,12 +210,12 @@
             # The clients' lines don't tell how long messages take; what a backend says of itself does.
             self.reported.took(ep, int(report.service_time))
         self.module.tell(self.module.balancer.probed, ep, answered, report)
-        self.hearers.tell("probed", ep, answered, report)
+        self.observers.notify("probed", ep, answered, report)
 
     def listens(self, hearer: Hearer) -> None:
         """Adds a hearer that stays whatever the operator's file says later."""
         self.listeners.append(hearer)
-        self.hearers.add(hearer)
+        self.observers.add(hearer)
 
     # -- a new configuration -----------------------------------------------------------------------
 
@@ -223,9 +225,9 @@
         clients nothing."""
         self.timers.cancel(self._reload_again)
         try:
-            orders = read_orders(os.environ)
+            config = read_config(os.environ)
             wanted = read_operator_file() if read_operator_file is not None else None
-        except ShortageError as why:
+        except TransientConfigError as why:
             # A change told at the new place counts within seconds, whatever this machine lacks.
             self.context.rate_limited_log.about("configuration", f"tried again: {why}")
             self._reload_again = self.timers.after(RELOAD_AGAIN, self.reload, read_operator_file)
@@ -233,32 +235,32 @@
         except BadConfigError as why:
             logger.error("the new configuration can't be used, the old one stays: {}", why)
             return
-        logger.info("configuration read again: discovery at {}:{}", *orders.discovery)
-        self.watching.move_to(orders.discovery)
+        logger.info("configuration read again: discovery at {}:{}", *config.discovery)
+        self.watching.move_to(config.discovery)
         if wanted is not None:
             self.follow(wanted)
 
     def follow(self, wanted: OperatorFile) -> None:
         """The operator's file takes effect, at the start and on SIGHUP."""
         log_to_stderr(wanted.log.level, wanted.log.form, wanted.log.waiting_kb << 10)
-        self.hearers.clear()
+        self.observers.clear()
         for hearer in self.listeners:
-            self.hearers.add(hearer)
-        self.hearers.most = int(wanted.hearers.most_share * SECOND)
-        self.hearers.left_out = int(wanted.hearers.left_out_s * SECOND)
+            self.observers.add(hearer)
+        self.observers.time_limit = int(wanted.hearers.most_share * SECOND)
+        self.observers.exclusion = int(wanted.hearers.left_out_s * SECOND)
         if wanted.log.events:
             from cedarledge.net.eventlog import EventLog
 
-            self.hearers.add(EventLog(wanted.log.events, list(self.profiles), self.boxes.eps.names))
+            self.observers.add(EventLog(wanted.log.events, list(self.profiles), self.boxes.eps.names))
         self.boxes.set_aside(wanted.boxes.aside)
 
     # -- the end ---------------------------------------------------------------------------------
 
     def stop(self) -> None:
         """The platform wants this relay to end, and will kill it."""
-        if self.service.ending:
+        if self.service.stopping:
             return
-        self.service.ending = True
+        self.service.stopping = True
         held = self.tunnels.table.used
         logger.info("stops within {} ms: {} tunnels", self.stop_within // MS, held)
         # Relays are restarted one after the other. Where another's clients have just come here it is not back
@@ -297,50 +299,50 @@
             return
         self.ended = True
         logger.info("ends, {} connections held", self.context.links.used - len(self.backends.probes))
-        self.audit.end()
+        self.audit.final_check()
         self.watching.let_go()
         if self.handover is not None:
-            self.handover.end()
+            self.handover.detach()
         self.context.reactor.stop()
 
 
 def run(
-    orders: StartingOrders,
+    config: RelayConfig,
     read_operator_file: ReadOperatorFile | None = None,
     balancer: MakeBalancer = Balancer,
     joins: Joins | None = None,
 ) -> int:
     """Runs one relay until it is told to end, and gives its exit code. `joins` adds what the operator's file
     has on. Raises BadConfigError."""
-    signals.hold_back()
+    signals.block()
     wanted = read_operator_file() if read_operator_file is not None else None
     log_to_stderr("info")
-    begin_logging()
+    redirect_twisted_log()
     reactor = install_reactor()
-    relay = Relay(reactor, orders, balancer)
+    relay = Relay(reactor, config, balancer)
     if wanted is not None:
         relay.follow(wanted)
-    if signals.told_to_end():
+    if signals.termination_pending():
         logger.info("told to end before it served")
         return 0
     try:
-        relay.open(orders)
+        relay.open(config)
     except CannotListenError as why:
         raise BadConfigError(str(why)) from why
     logger.info(
         "{} listens, {} backends known, room for {} tunnels",
-        orders.name,
+        config.name,
         len(relay.boxes.ready),
         relay.tunnels.table.most,
     )
     if joins is not None and wanted is not None:
-        joins(relay, orders, wanted)
+        joins(relay, config, wanted)
     # Twisted's own handler for SIGTERM, made as it starts, would end the reactor with every connection.
     reactor.callWhenRunning(
-        signals.hear,
+        signals.install_handlers,
         {signal.SIGHUP: lambda: relay.reload(read_operator_file), signal.SIGTERM: relay.stop},
         reactor.callFromThread,
     )
     reactor.run()
-    signals.hold_back()
+    signals.block()
     return 0
--- a/cedarledge/net/service.py
+++ b/cedarledge/net/service.py
@@ -17,11 +17,11 @@
 EMPTY_WITHIN, ANSWER_ALL_AFTER = 3300 * MS, 3700 * MS
 
 
-class UnknownError(Exception):
+class UnknownBackendError(Exception):
     """No list has named such a backend."""
 
 
-class Service:
+class ServiceState:
     """Each call may come twice, and then changes nothing."""
 
     def __init__(
@@ -39,62 +39,62 @@
         self.tunnels = tunnels
         self.backends = backends
         self.front = front
-        self.opened = False  # the clients' listener
-        self.ending = self.replaced = False  # this process, by a newer one
-        self.takes_over = False  # while the process before is still there
+        self.listening = False  # the clients' listener
+        self.stopping = self.replaced = False  # this process, by a newer one
+        self.taking_over = False  # while the process before is still there
         self._sweep: Timer | None = None
         # By the names that they have between two processes.
-        self.calls = {
-            "out-of-service": self.go_out,
-            "in-service": self.come_in,
-            "offline": self.take_out,
-            "online": self.put_back,
+        self.operations = {
+            "out-of-service": self.leave_service,
+            "in-service": self.return_to_service,
+            "offline": self.take_backend_offline,
+            "online": self.bring_backend_online,
         }
 
     def why_not_ready(self) -> str:
         """Empty where this process can serve."""
-        if self.ending:
+        if self.stopping:
             return "this process ends"
         if self.replaced:
             return "a newer process serves"
-        if not self.opened:
+        if not self.listening:
             return "the listener is not open yet"
-        if self.front.away and not self.takes_over:
+        if self.front.away and not self.taking_over:
             # A process that took over from one out of service is what that one's end waits for.
             return "out of service"
         if not self.boxes.heard and not self.boxes.ready:
             return "no list of backends yet"
         return ""
 
-    def go_out(self) -> None:
+    def leave_service(self) -> None:
         if self.front.away:
             return
         self.front.away = True
         logger.info("out of service: {} tunnels are sent away", self.tunnels.table.used)
-        if not self.ending:
+        if not self.stopping:
             self.module.tell(self.module.balancer.stopping, EMPTY_WITHIN)
             self._sweep = self.timers.after_reading(ANSWER_ALL_AFTER, self.tunnels.end_all)
 
-    def come_in(self) -> None:
+    def return_to_service(self) -> None:
         if not self.front.away:
             return
         self.front.away = False
         logger.info("in service again with {} tunnels", self.tunnels.table.used)
-        if not self.ending:
+        if not self.stopping:
             self.timers.cancel(self._sweep)
             self.module.tell(self.module.balancer.staying)
 
-    def take_out(self, name: str) -> None:
+    def take_backend_offline(self, name: str) -> None:
         ep = self._known(name)
         # The list's word first: whoever waits for a look at it is then placed elsewhere.
         self.boxes.ban(ep, self.timers.now())
         self.backends.no_probes(ep)
 
-    def put_back(self, name: str) -> None:
+    def bring_backend_online(self, name: str) -> None:
         self.boxes.put_back(self._known(name), self.timers.now())
 
     def _known(self, name: str) -> int:
         ep = self.boxes.known(name)
         if ep is None:
-            raise UnknownError(name)
+            raise UnknownBackendError(name)
         return ep
--- a/cedarledge/net/signals.py
+++ b/cedarledge/net/signals.py
@@ -6,37 +6,37 @@
 import signal
 from collections.abc import Callable, Mapping
 
-WORDS = frozenset((signal.SIGTERM, signal.SIGHUP))
+HANDLED = frozenset((signal.SIGTERM, signal.SIGHUP))
 
 
-def hold_back() -> None:
+def block() -> None:
     """From the program's first line on, and again from its last."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, WORDS)
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
 
 
-def told_to_end() -> bool:
+def termination_pending() -> bool:
     """Whether SIGTERM waits to be heard."""
     return signal.SIGTERM in signal.sigpending()
 
 
-def hear(
-    calls: Mapping[signal.Signals, Callable[[], None]], leave_word: Callable[[Callable[[], None]], None]
+def install_handlers(
+    calls: Mapping[signal.Signals, Callable[[], None]], schedule: Callable[[Callable[[], None]], None]
 ) -> None:
     """Has each call made for its signal, what has come before included. A handler may run anywhere, also
     within itself, so it only leaves word, and nothing more is heard until that is read: handlers within
     handlers were the end of a process that was told to end over and over."""
     for number, call in calls.items():
 
-        def came(*_: object, call: Callable[[], None] = call) -> None:
-            hold_back()
-            leave_word(lambda: _read(call))
+        def handler(*_: object, call: Callable[[], None] = call) -> None:
+            block()
+            schedule(lambda: _run_and_unblock(call))
 
-        signal.signal(number, came)
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, WORDS)
+        signal.signal(number, handler)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED)
 
 
-def _read(call: Callable[[], None]) -> None:
+def _run_and_unblock(call: Callable[[], None]) -> None:
     try:
         call()
     finally:
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, WORDS)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED)
--- a/cedarledge/net/tunnels.py
+++ b/cedarledge/net/tunnels.py
@@ -11,10 +11,10 @@
 from cedarledge.net.boxlist import BoxList
 from cedarledge.net.clients import Opening
 from cedarledge.net.echoes import Echo, Echoes
-from cedarledge.net.hearers import Hearers
 from cedarledge.net.lines import figure
 from cedarledge.net.links import ConnectionContext
 from cedarledge.net.module import Module
+from cedarledge.net.observers import Observers
 from cedarledge.net.request_guard import RequestGuard, RequestLog
 from cedarledge.net.seams import ClientEnd
 from cedarledge.net.slots import FullError, Slots
@@ -78,7 +78,7 @@
         context: ConnectionContext,
         module: Module,
         boxes: BoxList,
-        hearers: Hearers,
+        observers: Observers,
         most: int,
         profiles: Mapping[str, int],
         tenants: Mapping[str, int],
@@ -92,7 +92,7 @@
         self.timers = context.timers
         self.module = module
         self.boxes = boxes
-        self.hearers = hearers
+        self.observers = observers
         self.table: Slots[Tunnel] = Slots(most)
         self.ids: set[str] = set()  # of all tunnels here, as their clients named them
         self.ids_before: frozenset[str] = frozenset()  # at the process that this one takes over from
@@ -121,7 +121,7 @@
             self._not_sent(tun, ep)
             return
         self._set_up(tun, ep, timeout, self.connect_within)
-        self.hearers.tell("set_up", tun, ep, timeout)
+        self.observers.notify("set_up", tun, ep, timeout)
 
     def _not_sent(self, tun: int, ep: int) -> None:
         """Tells the module once it is through with what it does now."""
@@ -164,7 +164,7 @@
         tunnel.request.attempt_ended(Outcome.CANCELLED)
         tunnel.client.move()
         setup.call_off()
-        self.hearers.tell("moved", tun, setup.ep)
+        self.observers.notify("moved", tun, setup.ep)
         # The module is in the midst of moving, so it hears of the end afterwards.
         self.timers.after(0, self._moved, tun, setup.ep, self.clock() - setup.began)
 
@@ -193,7 +193,7 @@
             return -1
         self.ids.add(opening.id)
         self._counts["taken"] += 1
-        self.hearers.tell("arrived", tun, profile, opening.returning)
+        self.observers.notify("arrived", tun, profile, opening.returning)
         if opening.at is not None:
             self._adopt(tun)
             return tun
@@ -318,7 +318,7 @@
                 setup.ep,
                 opening.hint,
             )
-        self.hearers.tell("opened", tun, setup.ep, took)
+        self.observers.notify("opened", tun, setup.ep, took)
 
     def lines_back(self, tun: int, lines: list[bytes]) -> None:
         tunnel = self.table.get(tun)
@@ -355,7 +355,7 @@
         was_open = tunnel.up
         tunnel.request.attempt_ended(outcome)
         self._part(tunnel, over=was_open)
-        self.hearers.tell("setup_over", tun, ep, outcome, took, was_open)
+        self.observers.notify("setup_over", tun, ep, outcome, took, was_open)
         if was_open:
             if outcome is not Outcome.DONE:
                 self.refugees.add(self.clock(), -1)
@@ -405,7 +405,7 @@
         self._counts["rejected" if declined else "failed"] += 1
         self.guard.answered(tunnel.request, "BUSY" if declined else "ERR")
         self._part(tunnel)
-        self.hearers.tell("answered", tun, declined, self.clock() - tunnel.began)
+        self.observers.notify("answered", tun, declined, self.clock() - tunnel.began)
         self._free(tun)
 
     def abandon(self, tun: int) -> None:
@@ -438,6 +438,6 @@
     def _free(self, tun: int) -> None:
         """The one place where a tunnel's slot and its id are given back."""
         tunnel = self.table.get(tun)
-        self.hearers.tell("ended", tun, self.clock() - tunnel.began)
+        self.observers.notify("ended", tun, self.clock() - tunnel.began)
         self.ids.remove(tunnel.opening.id)
         self.table.give_back(tun)
--- a/cedarledge/operator/file.py
+++ b/cedarledge/operator/file.py
@@ -90,11 +90,11 @@
     hearers: HearersTable = HearersTable()
     peers: PeersTable = PeersTable()
 
-    def things_on(self) -> list[str]:
+    def enabled_tables(self) -> list[str]:
         """What ships switched off and is on here."""
         return [name for name in RESTART_ONLY if getattr(self, name).on]
 
-    def changed_in_place(self, other: OperatorFile) -> list[str]:
+    def changed_restart_only(self, other: OperatorFile) -> list[str]:
         """Tables that differ though they take effect at the start alone."""
         return [name for name in RESTART_ONLY if getattr(self, name) != getattr(other, name)]
 
--- a/cedarledge/rig/baselines.py
+++ b/cedarledge/rig/baselines.py
@@ -145,10 +145,10 @@
 def main(name: str) -> int:
     if name == "pass":
         return run_pass(json.loads(Path(os.environ["BALANCER_CONFIG"]).read_bytes()))
-    from cedarledge.net.config import read_orders
+    from cedarledge.net.config import read_config
     from cedarledge.net.relay import run
 
-    return run(read_orders(os.environ), balancer=BALANCERS[name])
+    return run(read_config(os.environ), balancer=BALANCERS[name])
 
 
 if __name__ == "__main__":
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -37,7 +37,7 @@
             balancer=ledger.balancer,
             knows=lambda aside: ledger.balancer.knows(ledger.now, ExternalView(aside=aside)),
         )
-        self.boxes = BoxList(module, SimpleNamespace(tell=lambda *_: None), {"dcs": ["z"]})
+        self.boxes = BoxList(module, SimpleNamespace(notify=lambda *_: None), {"dcs": ["z"]})
         self.told(True, *[self.entry(name) for name in NAMES])
 
     def entry(self, name: str, phase: str = "up", started: int = 0) -> dict:
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -11,7 +11,7 @@
 from pytest import MonkeyPatch, mark, raises
 
 from cedarledge.net import config
-from cedarledge.net.config import BadConfigError, ShortageError, read_orders
+from cedarledge.net.config import BadConfigError, TransientConfigError, read_config
 
 TOLD = {
     "name": "n0",
@@ -44,16 +44,16 @@
     path = tmp_path / "told.json"
     path.write_text(json.dumps(TOLD))
     monkeypatch.setattr(config, "_read_file", FailingReads(3, number))
-    assert read_orders({"BALANCER_CONFIG": str(path)}, tries=4).name == "n0"
+    assert read_config({"BALANCER_CONFIG": str(path)}, tries=4).name == "n0"
     monkeypatch.setattr(config, "_read_file", FailingReads(3, number))
-    with raises(ShortageError):
-        read_orders({"BALANCER_CONFIG": str(path)})
+    with raises(TransientConfigError):
+        read_config({"BALANCER_CONFIG": str(path)})
 
 
 def test_a_file_that_is_not_there_is_refused_at_once(tmp_path: Path, monkeypatch: MonkeyPatch) -> None:
     with raises(BadConfigError) as refused:
-        read_orders({"BALANCER_CONFIG": str(tmp_path / "none")}, tries=4)
-    assert not isinstance(refused.value, ShortageError)
+        read_config({"BALANCER_CONFIG": str(tmp_path / "none")}, tries=4)
+    assert not isinstance(refused.value, TransientConfigError)
 
 
 def test_a_new_configuration_is_followed_once_its_file_can_be_read(tmp_path: Path) -> None:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -18,7 +18,7 @@
 from hypothesis import given, settings
 from pytest import mark, raises
 
-from cedarledge.net.control import LONGEST_BODY, LONGEST_HEAD, Call, CallError, CallReader
+from cedarledge.net.control import MAX_BODY_BYTES, MAX_HEAD_BYTES, Call, CallError, CallReader
 
 
 def free_address() -> str:
@@ -86,9 +86,9 @@
         (b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400),
         (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", 400),
         (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
-        (b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (LONGEST_BODY + 1), 413),
+        (b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1), 413),
         (b"POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", 413),
-        (b"GET / HTTP/1.1\r\n" + b"A: b\r\n" * (LONGEST_HEAD // 6), 431),
+        (b"GET / HTTP/1.1\r\n" + b"A: b\r\n" * (MAX_HEAD_BYTES // 6), 431),
     ],
 )
 def test_what_is_no_call_is_told_so(data: bytes, status: int) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,16 +36,16 @@
 )
 from pytest import MonkeyPatch, approx, mark
 from test_control import Caller, call, free_address
-from test_handover import Pair
+from test_handover import RestartableRelay
 from twisted.internet.task import Clock
 
 from cedarledge.net.buffers import Pool
-from cedarledge.net.control import WHOLE_WITHIN
-from cedarledge.net.handover import HEARD_WITHIN, Handover
+from cedarledge.net.control import CALL_TIMEOUT
+from cedarledge.net.handover import ACKNOWLEDGE_WITHIN, Handover
 from cedarledge.net.invariants import Invariants
 from cedarledge.net.links import LINGER, ConnectionContext, Link
 from cedarledge.net.rate_limited_log import RateLimitedLog
-from cedarledge.net.service import Service
+from cedarledge.net.service import ServiceState
 from cedarledge.net.slots import Slots
 from cedarledge.net.timers import Timers
 from cedarledge.terms import ListForm, Outcome
@@ -473,7 +473,7 @@
 def test_a_signal_at_any_step_of_the_start_is_heard(place: str, tmp_path: Path) -> None:
     backend = Backend("a")
     other = Discovery([backend.entry()])
-    relay = Stopping(tmp_path, [backend], place.split(), settings=PATIENT)
+    relay = SelfStoppingRelay(tmp_path, [backend], place.split(), settings=PATIENT)
     try:
         relay.until_paused()
         relay.reload(discovery=other.address)
@@ -557,7 +557,7 @@
     ]
 
 
-class Stopping(Program):
+class SelfStoppingRelay(Program):
     def command(self) -> list[str]:
         return stopping(" ".join(self.arguments))
 
@@ -598,7 +598,7 @@
 ) -> None:
     """The line waited for the reactor's next turn, and went out in it whatever the client had done since."""
     backend = Backend("a")
-    with Stopping(tmp_path, [backend], place.split(), settings=UNHURRIED) as relay:
+    with SelfStoppingRelay(tmp_path, [backend], place.split(), settings=UNHURRIED) as relay:
         before = holds(relay)
         client = asks(relay)
         relay.until_paused()
@@ -617,7 +617,7 @@
     """What it said lay before its end, and hid it: its line went out 0.35 s after it had left."""
     backend = Backend("a")
     place = "backends SetupLink came_up before"
-    with Stopping(tmp_path, [backend], place.split(), settings=UNHURRIED) as relay:
+    with SelfStoppingRelay(tmp_path, [backend], place.split(), settings=UNHURRIED) as relay:
         client = asks(relay)
         relay.until_paused()
         client.link.sendall(b"M")
@@ -950,7 +950,7 @@
 def test_a_word_that_comes_as_the_time_is_over_counts_for_what_it_says(
     word: str, name: str, tmp_path: Path
 ) -> None:
-    with Stopping(
+    with SelfStoppingRelay(
         tmp_path, [Backend("a", "hang"), Backend("b", "hang")], WRITTEN.split(), settings=EFFECTS
     ) as relay:
         client, (first, other) = late_word(relay, word, name)
@@ -966,7 +966,7 @@
 def test_with_the_others_drain_or_the_clients_end_in_the_same_turn_nothing_more_goes_out(
     word: str, beside: str, tmp_path: Path
 ) -> None:
-    with Stopping(
+    with SelfStoppingRelay(
         tmp_path, [Backend("a", "hang"), Backend("b", "hang")], WRITTEN.split(), settings=EFFECTS
     ) as relay:
         client, (first, other) = late_word(relay, word, "feed", beside)
@@ -997,7 +997,7 @@
 # -- one process after the other -------------------------------------------------------------------
 
 
-class Steps(Pair):
+class Steps(RestartableRelay):
     """Processes that stop themselves at a place each; an empty one does not."""
 
     def __init__(self, tmp: Path, backends: list[Backend], *places: str) -> None:
@@ -1059,7 +1059,15 @@
 
 
 @mark.parametrize("end", ["late", "killed"])
-@mark.parametrize("place", ["_asked before", "_asked after", "_taken before", "_taken after"])
+@mark.parametrize(
+    "place",
+    [
+        "_takeover_requested before",
+        "_takeover_requested after",
+        "_takeover_confirmed before",
+        "_takeover_confirmed after",
+    ],
+)
 def test_an_old_process_that_stops_or_dies_between_its_steps_costs_no_newcomer(
     place: str, end: str, tmp_path: Path
 ) -> None:
@@ -1085,7 +1093,7 @@
 
 def test_the_lease_ends_as_the_word_that_it_was_taken_lies_unread(tmp_path: Path) -> None:
     """The old process, paused, found its lease over first, and both said that they serve."""
-    with Steps(tmp_path, [Backend("a")], "", "handover Peer tell before") as relay:
+    with Steps(tmp_path, [Backend("a")], "", "handover PeerProcess send before") as relay:
         until(relay.ready)
         old = relay.processes[0]
         relay.start()
@@ -1109,13 +1117,13 @@
 
     context = SimpleNamespace(reactor=clock, timers=Timers(clock, now), links=None)
     handover = Handover(context, tmp_path, "n0", *[None] * 5)
-    peer = handover.after = SimpleNamespace(tell=lambda **line: told.append(line))
+    peer = handover.successor = SimpleNamespace(send=lambda **line: told.append(line))
     for number in (1, 2):
-        handover.pass_on("offline", "a", lambda number=number: done.append(number))
-        clock.advance((HEARD_WITHIN + 200 * MS) / SECOND)
+        handover.forward("offline", "a", lambda number=number: done.append(number))
+        clock.advance((ACKNOWLEDGE_WITHIN + 200 * MS) / SECOND)
         assert len(told) == number and len(done) == number - 1, "its word may lie unread"
         if number == 1:
-            handover.heard(peer, {"done": told[0]["call"]})
+            handover.message_received(peer, {"done": told[0]["call"]})
         else:
             clock.advance(0.002)  # it hangs
         assert done == [1, 2][:number]
@@ -1134,7 +1142,7 @@
         until(relay.answers)
         relay.pause()
         caller.sendall(b"ady HTTP/1.1\r\nHost: x\r\n\r\n")
-        time.sleep(WHOLE_WITHIN / SECOND + 0.3)
+        time.sleep(CALL_TIMEOUT / SECOND + 0.3)
         relay.go_on()
         assert caller.recv(100).startswith(b"HTTP/1.1 200")
 
@@ -1163,8 +1171,8 @@
     timers = Timers(clock, now)
     module = SimpleNamespace(tell=lambda *_: None, balancer=SimpleNamespace(stopping=None))
     tunnels = SimpleNamespace(table=SimpleNamespace(used=1), end_all=lambda: swept.append(now()))
-    service = Service(timers, module, None, tunnels, None, SimpleNamespace(away=False))
-    service.go_out()
+    service = ServiceState(timers, module, None, tunnels, None, SimpleNamespace(away=False))
+    service.leave_service()
     clock.advance(5)
     assert not swept, "answers may lie unread"
     clock.advance(0.002)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -18,7 +18,7 @@
 
 from cedarledge.net import relay as relays
 from cedarledge.net.clients import read_opening
-from cedarledge.net.config import StartingOrders
+from cedarledge.net.config import RelayConfig
 from cedarledge.settings import NEEDED, NEEDED_OF_PROFILES, check_settings
 from cedarledge.terms import LoadReport
 
@@ -83,7 +83,7 @@
     ]
     return relays.Relay(
         reactor,
-        StartingOrders(
+        RelayConfig(
             "n",
             ("127.0.0.1", 9),
             ("127.0.0.1", 8),
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,14 +18,20 @@
 from pytest import approx, mark, raises
 from test_control import call, free_address
 
-from cedarledge.net import beliefs
-from cedarledge.net.handover import VERSION, NotFollowedError, line_of, own_path, read_estate
+from cedarledge.net import learned_state
+from cedarledge.net.handover import (
+    VERSION,
+    HandoverMessageError,
+    encode_message,
+    parse_handover_state,
+    socket_path,
+)
 from cedarledge.policy import utilization
 from cedarledge.policy.estimators import usual_load
 from cedarledge.settings import Indices
 
 
-class Pair(Program):
+class RestartableRelay(Program):
     """A relay whose clients' socket is held by the platform, and whose processes come one after the other."""
 
     def __init__(self, tmp: Path, backends: list[Backend], folder: str = "common", **other: object) -> None:
@@ -77,8 +83,8 @@
 
 
 @contextmanager
-def pair(tmp: Path, *backends: Backend, **other: object) -> Iterator[Pair]:
-    with Pair(tmp, list(backends), **other) as relay:
+def restartable_relay(tmp: Path, *backends: Backend, **other: object) -> Iterator[RestartableRelay]:
+    with RestartableRelay(tmp, list(backends), **other) as relay:
         until(relay.ready)
         yield relay
 
@@ -86,7 +92,7 @@
 class Stream:
     """Clients that come throughout, one after the other; what came of each."""
 
-    def __init__(self, relay: Pair) -> None:
+    def __init__(self, relay: RestartableRelay) -> None:
         self.relay = relay
         self.answers: list[str] = []
         self.open: list[Client] = []
@@ -122,7 +128,7 @@
             row | {"setup_goal": 3_000_000, "client_timeout": 3_000_000} for row in SETTINGS["profiles"]
         ]
     }
-    with pair(tmp_path, backend, settings=unhurried) as relay:
+    with restartable_relay(tmp_path, backend, settings=unhurried) as relay:
         stream = Stream(relay)
         until(lambda: len(stream.answers) > 10)
         for old in range(2):
@@ -160,13 +166,13 @@
 
 
 def test_the_new_process_dies_before_it_serves_and_the_old_one_goes_on(tmp_path: Path) -> None:
-    with pair(tmp_path, Backend("a")) as relay:
-        path = own_path(relay.folder, "n0", relay.process.pid)
+    with restartable_relay(tmp_path, Backend("a")) as relay:
+        path = socket_path(relay.folder, "n0", relay.process.pid)
         assert path.stat().st_mode & 0o777 == 0o600
         with closing(socket.socket(socket.AF_UNIX)) as link:
             connect_to(link, path)
             link.sendall(json.dumps({"version": VERSION, "name": "n0"}).encode() + b"\n")
-            estate = read_estate(link.makefile("rb").readline())
+            estate = parse_handover_state(link.makefile("rb").readline())
             assert [entry["id"] for entry in estate.members] == ["a"] and estate.revision == 7
             waits = relay.client()
             waits.link.sendall(b"PING\r\n")
@@ -186,7 +192,7 @@
 def test_the_new_process_is_killed_after_it_took_over_and_the_old_one_takes_clients_in_again(
     tmp_path: Path,
 ) -> None:
-    with pair(tmp_path, Backend("a")) as relay:
+    with restartable_relay(tmp_path, Backend("a")) as relay:
         assert relay.next() < 6 and not relay.ready(0)
         relay.process.kill()
         until(lambda: relay.ready(0))
@@ -195,7 +201,7 @@
 
 @mark.parametrize("state", ["killed", "hung"])
 def test_without_a_process_before_that_answers_the_new_one_goes_on_alone(tmp_path: Path, state: str) -> None:
-    with pair(tmp_path, Backend("a")) as relay:
+    with restartable_relay(tmp_path, Backend("a")) as relay:
         relay.process.send_signal(signal.SIGKILL if state == "killed" else signal.SIGSTOP)
         assert relay.next() < 6
         assert relay.client().open() == "UP r"
@@ -204,7 +210,7 @@
 
 def test_what_operators_tell_one_process_both_know(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
-    with pair(tmp_path, *backends) as relay:
+    with restartable_relay(tmp_path, *backends) as relay:
         assert call(relay.controls[0], "POST", "/control/backends/a/offline") == 200
         assert relay.next() < 6
         old, new = relay.controls
@@ -228,7 +234,7 @@
 
 
 def test_an_id_that_is_open_at_the_process_before_is_refused(tmp_path: Path) -> None:
-    with pair(tmp_path, Backend("a")) as relay:
+    with restartable_relay(tmp_path, Backend("a")) as relay:
         client = relay.client()
         assert client.open() == "UP r"
         assert relay.next() < 6
@@ -243,7 +249,7 @@
 
 def test_a_drain_that_the_old_process_was_told_of_holds_at_the_new_one_from_its_start(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
-    with pair(tmp_path, *backends) as relay:
+    with restartable_relay(tmp_path, *backends) as relay:
         relay.discovery.tell(backends[0].entry("draining"))
         until(lambda: len(relay.discovery.calls) > 1)
         # Discovery is deaf from here on, and what the new process was started with is older.
@@ -258,12 +264,12 @@
     with closing(link), link.makefile("rb") as lines:
         # Closed over what it has not read it would reset the connection, its own answer with it.
         lines.readline()
-        link.sendall(line_of(version=VERSION, estate={}))
+        link.sendall(encode_message(version=VERSION, estate={}))
 
 
 def test_strangers_and_nonsense_on_the_way_between_processes_change_nothing(tmp_path: Path) -> None:
-    with pair(tmp_path, Backend("a")) as relay:
-        path = own_path(relay.folder, "n0", relay.process.pid)
+    with restartable_relay(tmp_path, Backend("a")) as relay:
+        path = socket_path(relay.folder, "n0", relay.process.pid)
         for said in (
             b"\x00\xff\n",
             b"[1]\n",
@@ -272,7 +278,7 @@
             b'{"do":"offline"}\n',
             b'{"done":[1]}\n',
             b'{"version":99,"name":"n0"}\n',
-            line_of(version=VERSION, name="n1"),
+            encode_message(version=VERSION, name="n1"),
             b"{" * 200_000,
         ):
             with closing(socket.socket(socket.AF_UNIX)) as link:
@@ -296,7 +302,7 @@
 
 
 def test_sighup_is_followed_with_an_inherited_socket_too(tmp_path: Path) -> None:
-    with pair(tmp_path, Backend("a")) as relay:
+    with restartable_relay(tmp_path, Backend("a")) as relay:
         assert relay.next() < 6
         relay.reload()
         until(lambda: relay.said("configuration read again"))
@@ -305,7 +311,7 @@
 
 def test_descriptors_that_the_old_process_gives_back_are_the_new_ones(tmp_path: Path) -> None:
     limits = {"cores": 1.0, "memory_mb": 96, "sockets": 150}
-    with pair(tmp_path, Backend("a"), limits=limits) as relay:
+    with restartable_relay(tmp_path, Backend("a"), limits=limits) as relay:
         held = [relay.client() for _ in range(22)]
         assert all(client.open(str(number)) == "UP r" for number, client in enumerate(held))
         assert relay.next() < 6
@@ -325,7 +331,7 @@
 
 
 def test_a_folder_of_any_length_serves(tmp_path: Path) -> None:
-    with pair(tmp_path, Backend("a"), folder="x" * 120) as relay:
+    with restartable_relay(tmp_path, Backend("a"), folder="x" * 120) as relay:
         assert relay.next() < 6 and relay.said("takes over") and not relay.ready(0)
 
 
@@ -345,7 +351,7 @@
     def told(**other: object) -> bytes:
         return json.dumps({"version": VERSION, "estate": good | other}).encode()
 
-    assert read_estate(told()).banned == {"a": 1}
+    assert parse_handover_state(told()).banned == {"a": 1}
     for other in (
         {"until": "1"},
         {"revision": 1.5},
@@ -361,16 +367,16 @@
         {"unix_offset": "1"},
         {"more": 1},
     ):
-        with raises(NotFollowedError):
-            read_estate(told(**other))
-    with raises(NotFollowedError):
-        read_estate(json.dumps({"version": VERSION + 1, "estate": good}).encode())
-    with raises(NotFollowedError):
-        read_estate(told()[:-9])
+        with raises(HandoverMessageError):
+            parse_handover_state(told(**other))
+    with raises(HandoverMessageError):
+        parse_handover_state(json.dumps({"version": VERSION + 1, "estate": good}).encode())
+    with raises(HandoverMessageError):
+        parse_handover_state(told()[:-9])
 
 
 def test_a_bad_descriptor_is_one_line(tmp_path: Path) -> None:
-    with pair(tmp_path, Backend("a")) as relay, closing(socket.socket()) as idle:
+    with restartable_relay(tmp_path, Backend("a")) as relay, closing(socket.socket()) as idle:
         for bad in ("x", "999", "9" * 30, str(idle.fileno())):
             ended = subprocess.run(
                 [sys.executable, "-m", "cedarledge"],
@@ -388,14 +394,14 @@
     old = fleet(size=2, asked=None)
     kinds = Indices(["k"])
     teach(old)
-    told = json.loads(json.dumps(beliefs.told_of(old.balancer, kinds, old.now)))
+    told = json.loads(json.dumps(learned_state.export_state(old.balancer, kinds, old.now)))
     new = fleet(size=2, asked=None, now=old.now)
     with raises(ValueError):
-        beliefs.follow(new.balancer, kinds, told | {"loads": told["loads"][1:]}, new.now)
+        learned_state.import_state(new.balancer, kinds, told | {"loads": told["loads"][1:]}, new.now)
     with raises(ValueError):
-        beliefs.follow(new.balancer, kinds, told | {"rate": -1.0}, new.now)
+        learned_state.import_state(new.balancer, kinds, told | {"rate": -1.0}, new.now)
     assert not new.balancer.state.fill_rate and usual_load(new.balancer.state.loads, new.now, 0) == 0
-    beliefs.follow(new.balancer, kinds, told, new.now)
+    learned_state.import_state(new.balancer, kinds, told, new.now)
     assert usual_load(new.balancer.state.loads, new.now, 0) == approx(100)
     # The clients are still at the old process, and the reports tell of them.
     for _ in range(10):
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -18,7 +18,7 @@
 
 from helpers import Backend, Client, Program, until
 from pytest import mark
-from test_handover import Pair
+from test_handover import RestartableRelay
 
 from cedarledge.operator.file import read_operator_file
 from cedarledge.peers.messages import FORMAT, Kind, Message, encode
@@ -121,7 +121,7 @@
         address = fleet.free()
         (tmp_path / "file").write_text(FILE.format(address, f'"{fleet.addresses[0]}"'))
         arguments = ["relay", "--file", str(tmp_path / "file")]
-        with Pair(tmp_path, fleet.backends, arguments=arguments, name="n2") as pair:
+        with RestartableRelay(tmp_path, fleet.backends, arguments=arguments, name="n2") as pair:
             until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
             client = Client(pair.address)
             assert client.open() == "UP r"
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -1,4 +1,4 @@
-"""What a relay can be added to by: hearers, logs, the operator's file, and facts for the decision."""
+"""What a relay can be added to by: observers, logs, the operator's file, and facts for the decision."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from pytest import fixture, mark, raises
 from twisted.internet.task import Clock
 
-from cedarledge.net.hearers import MOST_FAULTS, Hearers
-from cedarledge.net.logs import NeverWaiting, as_json
+from cedarledge.net.logs import NonBlockingSink, as_json
+from cedarledge.net.observers import MAX_FAULTS, Observers
 from cedarledge.net.seams import Hearer
 from cedarledge.net.timers import Timers
 from cedarledge.operator.file import OperatorFile, read_operator_file
@@ -40,40 +40,40 @@
     watch = 0
 
 
-def hearers_of(*ears: Ear) -> tuple[Hearers, Clock]:
+def observers_of(*ears: Ear) -> tuple[Observers, Clock]:
     clock = Clock()
 
     def now() -> int:
         return round(clock.seconds() * SECOND)
 
-    hearers = Hearers(now, Timers(clock, now), 0.05, 30 * SECOND, stopwatch=lambda: Ear.watch)
+    observers = Observers(now, Timers(clock, now), 0.05, 30 * SECOND, stopwatch=lambda: Ear.watch)
     for ear in ears:
-        hearers.add(ear)
-    return hearers, clock
+        observers.add(ear)
+    return observers, clock
 
 
 @mark.parametrize("bad", [Ear(fails=True), Ear(cost=20 * MS)])
 def test_a_hearer_that_fails_or_takes_its_time_is_left_out_for_a_while_and_costs_no_other(bad: Ear) -> None:
     good = Ear()
-    hearers, clock = hearers_of(bad, good)
+    observers, clock = observers_of(bad, good)
     for _ in range(20):
-        hearers.tell("moved", 1, 2)
+        observers.notify("moved", 1, 2)
     assert good.heard == 20
-    assert bad.heard <= MOST_FAULTS
+    assert bad.heard <= MAX_FAULTS
     clock.advance(31)
-    hearers.tell("moved", 1, 2)
-    assert bad.heard <= MOST_FAULTS + 1
+    observers.notify("moved", 1, 2)
+    assert bad.heard <= MAX_FAULTS + 1
     assert good.heard == 21
 
 
 def test_a_hearer_within_its_share_goes_on_listening_for_good() -> None:
     ear = Ear(cost=20 * MS)
-    hearers, clock = hearers_of(ear)
+    observers, clock = observers_of(ear)
     for _ in range(50):
         clock.advance(0.5)
-        hearers.tell("moved", 1, 2)
+        observers.notify("moved", 1, 2)
     assert ear.heard == 50
-    hearers.tell("opened", 1, 2, 3)
+    observers.notify("opened", 1, 2, 3)
     assert ear.heard == 50, "what it does not listen to is not told"
 
 
@@ -87,7 +87,7 @@
 
 def test_a_log_reader_that_stops_costs_lines_and_no_time(pipe: tuple[int, int]) -> None:
     reader, writer = pipe
-    sink = NeverWaiting(writer, most=8 << 10)
+    sink = NonBlockingSink(writer, max_bytes=8 << 10)
     line = "x" * 99 + "\n"
     began = time.monotonic()
     for _ in range(3000):
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -13,7 +13,7 @@
 
 from helpers import Backend, Client, Program, reset
 from pytest import mark
-from test_crossings import UNHURRIED, Stopping
+from test_crossings import UNHURRIED, SelfStoppingRelay
 
 GONE_AFTER = 0.1
 ALLOWED_LATE = 2  # the third case breaks the rule
@@ -175,7 +175,7 @@
 def test_who_leaves_right_before_its_line_is_written_is_not_attempted(place: str, tmp_path: Path) -> None:
     """The client was looked at before its line was put together, and a pause between the two hid its end."""
     backend = Backend("a")
-    with Stopping(tmp_path, [backend], place.split(), settings=UNHURRIED) as relay:
+    with SelfStoppingRelay(tmp_path, [backend], place.split(), settings=UNHURRIED) as relay:
         client = ask(relay, 1)
         relay.until_paused()
         leave_by_fin(client)
--- a/tests/test_tunnels.py
+++ b/tests/test_tunnels.py
@@ -13,10 +13,10 @@
 from cedarledge.net.buffers import Pool
 from cedarledge.net.clients import read_opening
 from cedarledge.net.echoes import Delays, Echoes
-from cedarledge.net.hearers import Hearers
 from cedarledge.net.invariants import Invariants
 from cedarledge.net.links import ConnectionContext
 from cedarledge.net.module import Module
+from cedarledge.net.observers import Observers
 from cedarledge.net.rate_limited_log import RateLimitedLog
 from cedarledge.net.seams import Hearer
 from cedarledge.net.slots import FullError, Slots
@@ -109,16 +109,16 @@
             self.reactor, self.now, timers, Pool(4097, 50), Slots(50), RateLimitedLog(timers), Invariants()
         )
         self.invariants = context.invariants
-        hearers = Hearers(self.now, timers)
-        hearers.add(Ear())
+        observers = Observers(self.now, timers)
+        observers.add(Ear())
         self.module = Module(self.now, timers)
-        self.boxes = BoxList(self.module, hearers, {})
+        self.boxes = BoxList(self.module, observers, {})
         profiles = {"a": 0, "b": 1, "c": 2}
         self.tunnels = Tunnels(
             context,
             self.module,
             self.boxes,
-            hearers,
+            observers,
             MOST,
             profiles,
             {},
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -11,10 +11,10 @@
 
 from helpers import MS, SECOND, SETTINGS, Backend, Client, Program, until
 from pytest import fixture, mark
-from test_handover import Pair, connect_to, pair
+from test_handover import RestartableRelay, connect_to, restartable_relay
 
 from cedarledge.faults.wall_clock import WallClock
-from cedarledge.net.handover import VERSION, line_of, own_path
+from cedarledge.net.handover import VERSION, encode_message, socket_path
 from cedarledge.net.start_times import StartTimes
 
 HOUR = 3600 * SECOND
@@ -202,7 +202,7 @@
 # -- one process after the other ---------------------------------------------------------------------
 
 
-class SteppedPair(Pair):
+class SteppedPair(RestartableRelay):
     """Processes of one relay, one after the other, by one wall clock."""
 
     def __init__(self, tmp: Path, backends: list[Backend], clock: WallClock) -> None:
@@ -215,8 +215,8 @@
     tmp_path: Path, clock: WallClock, steps: tuple[int, ...]
 ) -> None:
     with SteppedPair(tmp_path, [Backend("a")], clock) as relay, socket.socket(socket.AF_UNIX) as asks:
-        connect_to(asks, own_path(relay.folder, "n0", relay.process.pid))
-        asks.sendall(line_of(version=VERSION, name="n0"))
+        connect_to(asks, socket_path(relay.folder, "n0", relay.process.pid))
+        asks.sendall(encode_message(version=VERSION, name="n0"))
         assert asks.recv(1)
         began = time.monotonic()
         for by in steps:
@@ -250,9 +250,9 @@
 
 def test_the_newest_process_is_asked_whatever_the_times_of_the_sockets_say(tmp_path: Path) -> None:
     """As a step back between the starts of the two leaves them."""
-    with pair(tmp_path, Backend("a")) as relay:
+    with restartable_relay(tmp_path, Backend("a")) as relay:
         assert relay.next() < 6
-        os.utime(own_path(relay.folder, "n0", relay.processes[1].pid), (1, 1))
+        os.utime(socket_path(relay.folder, "n0", relay.processes[1].pid), (1, 1))
         assert relay.next() < 6
         assert not relay.said("asked again"), "the oldest was asked, which has handed over already"
 
