--- a/cedarledge/__main__.py
+++ b/cedarledge/__main__.py
@@ -1,4 +1,4 @@
-"""Without arguments: one relay on sockets, as BALANCER_CONFIG tells it to. With some: the command line."""
+"""Entry point: without arguments it runs the relay that BALANCER_CONFIG configures, else the command line."""
 
 from __future__ import annotations
 
@@ -14,41 +14,41 @@
     from cedarledge.net.relay import ReadOperatorFile, Relay
     from cedarledge.operator.file import OperatorFile
 
-CAN_NOT_START = 2
+START_FAILED = 2  # exit code
 
 
-def _reader(path: str) -> ReadOperatorFile:
-    # Only with a file: it takes msgspec, which the platform's relay does without.
+def _operator_file_reader(path: str) -> ReadOperatorFile:
+    # Imported only for an operator file: it needs msgspec, which the relay of the platform runs without.
     from cedarledge.net.config import BadConfigError
     from cedarledge.operator.file import read_operator_file
     from cedarledge.operator.tables import BadFileError
 
-    first: list[OperatorFile] = []
+    first_read: list[OperatorFile] = []
 
     def read() -> OperatorFile:
         try:
-            wanted = read_operator_file(path)
+            settings = read_operator_file(path)
         except BadFileError as why:
             raise BadConfigError("; ".join(why.problems)) from why
-        first.append(wanted)
-        changed = first[0].changed_restart_only(wanted)
-        del first[1:]
+        first_read.append(settings)
+        changed = first_read[0].changed_restart_only(settings)
+        del first_read[1:]
         if changed:
             raise BadConfigError(f"[{changed[0]}] in {path} has changed, which takes a restart")
-        return wanted
+        return settings
 
     return read
 
 
-def _joins(relay: Relay, config: RelayConfig, wanted: OperatorFile) -> None:
-    if wanted.enabled_tables():
+def _join_peers(relay: Relay, config: RelayConfig, settings: OperatorFile) -> None:
+    if settings.enabled_tables():
         from cedarledge.fleet import join
 
-        join(relay, config, wanted)
+        join(relay, config, settings)
 
 
 def start(operator_file: str | None = None) -> int:
-    """Runs the relay and gives its exit code; 2 where it could not start, with one line that says why."""
+    """Runs the relay and returns its exit code; 2 if it can't start, with one line on standard error."""
     from cedarledge.net.config import START_READ_ATTEMPTS, BadConfigError, read_config
     from cedarledge.net.relay import run
 
@@ -56,15 +56,18 @@
         config = read_config(os.environ, START_READ_ATTEMPTS)
         if operator_file is None:
             return run(config)
-        return run(config, _reader(operator_file), joins=_joins)
+        return run(config, _operator_file_reader(operator_file), joins=_join_peers)
     except BadConfigError as why:
         sys.stderr.write(f"cedarledge: {why}\n")
-        return CAN_NOT_START
+        return START_FAILED
 
 
 def end_process(code: int) -> None:
-    """Ends this process at once. Taking the interpreter apart takes longer than a relay may have left, which
-    is killed a little after its end is due."""
+    """Ends this process at once, without the interpreter's shutdown.
+
+    The shutdown may take longer than a stopping relay has left: the platform kills it soon after its time is
+    up.
+    """
     for stream in (sys.stdout, sys.stderr):
         with suppress(OSError):
             stream.flush()
@@ -72,8 +75,9 @@
 
 
 def main() -> int:
+    """Runs the relay or the command line; returns the exit code."""
     if sys.argv[1:2] in ([], ["relay"]):
-        # Before all that takes time to import: told to end in its first 0.3 s, a relay ends as any other.
+        # Before the imports, which take time: SIGTERM within the first 0.3 s then ends the relay normally.
         signals.block()
     if len(sys.argv) == 1 and "_CEDARLEDGE_COMPLETE" not in os.environ:
         return start()
@@ -81,10 +85,10 @@
         from cedarledge.cli import main as command_line
     except ImportError as why:
         sys.stderr.write(
-            f"cedarledge: the commands need {why.name}, which the extra 'rig' brings: "
+            f"cedarledge: the commands need {why.name}, which is part of the extra 'rig': "
             "pip install 'cedarledge[rig]'\n"
         )
-        return CAN_NOT_START
+        return START_FAILED
     command_line(prog_name="cedarledge")
     return 0
 
--- a/cedarledge/cli.py
+++ b/cedarledge/cli.py
@@ -1,7 +1,7 @@
-"""The command line. Without arguments the program is the relay and this file is not read: see __main__.
+"""The command line. Without arguments the program is the relay and this module is not imported: see __main__.
 
-Exit codes: 0 all well; 1 a rule broke, or a comparison could not be made; 2 bad usage or a file that can't
-be used; 3 the stand-ins ran late, so the run counts for nothing.
+Exit codes: 0 success; 1 a rule was broken, or a comparison failed; 2 bad usage, or a file that can't be used;
+3 the stand-ins ran late, which makes the run invalid.
 """
 
 from __future__ import annotations
@@ -27,22 +27,22 @@
 from cedarledge.scale.command import scale
 from cedarledge.standins.plan import MOST_BOXES, MOST_RELAYS
 
-BROKEN, UNUSABLE, LATE = 1, 2, 3
+RULE_BROKEN, BAD_FILE, STANDINS_LATE = 1, 2, 3
 
 
-def _refuse(why: BadFileError) -> None:
+def _exit_unusable(why: BadFileError) -> None:
     for problem in why.problems:
         click.echo(f"cedarledge: {problem}", err=True)
-    sys.exit(UNUSABLE)
+    sys.exit(BAD_FILE)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
 @click.version_option(__version__, prog_name="cedarledge")
 def main() -> None:
-    """A balancer for long-lived connections, and a rig to try it on.
+    """A load balancer for long-lived connections, and a test rig for it.
 
-    Without arguments it is the relay that BALANCER_CONFIG tells of. Exit codes: 0 all well; 1 a rule broke;
-    2 bad usage or a file that can't be used; 3 a run that counts for nothing, since the stand-ins ran late.
+    Without arguments it runs the relay that BALANCER_CONFIG configures. Exit codes: 0 success; 1 a rule was
+    broken; 2 bad usage or a file that can't be used; 3 an invalid run, since the stand-ins ran late.
 
     For completion in bash: eval "$(_CEDARLEDGE_COMPLETE=bash_source cedarledge)"; zsh and fish likewise.
     """
@@ -51,10 +51,10 @@
 @main.command()
 @click.option("--file", "path", type=click.Path(dir_okay=False), help="Operator file (TOML); see `check`.")
 def relay(path: str | None) -> None:
-    """Run one relay, as BALANCER_CONFIG tells it to.
+    """Run one relay with the configuration that BALANCER_CONFIG names.
 
-    SIGTERM ends it: its clients are answered and moved first. SIGHUP reads BALANCER_CONFIG and the operator
-    file again.
+    SIGTERM stops it after its clients have been answered and moved. SIGHUP reads BALANCER_CONFIG and the
+    operator file again.
     """
     from cedarledge.__main__ import end_process, start
 
@@ -63,25 +63,33 @@
 
 @main.command()
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--scenario", is_flag=True, help="Check a scenario of the rig in place of an operator file.")
+@click.option("--scenario", is_flag=True, help="Check a scenario of the rig instead of an operator file.")
 def check(file: str, scenario: bool) -> None:
-    """Tell all that is wrong in an operator FILE, each with its place."""
+    """Check an operator FILE and report every problem with its place."""
     from cedarledge.operator.file import read_operator_file
     from cedarledge.rig.scenario import load_scenario
 
     try:
-        told = load_scenario(file) if scenario else read_operator_file(file)
+        loaded = load_scenario(file) if scenario else read_operator_file(file)
     except BadFileError as why:
-        _refuse(why)
-    on = [] if scenario else told.enabled_tables()
-    click.echo(f"{file}: good" + (f"; on: {', '.join(on)}" if on else ""))
+        _exit_unusable(why)
+    on = [] if scenario else loaded.enabled_tables()
+    click.echo(f"{file}: valid" + (f"; on: {', '.join(on)}" if on else ""))
 
 
-def _sizes(command: Callable[..., None]) -> Callable[..., None]:
+def _size_options(command: Callable[..., None]) -> Callable[..., None]:
     for option in (
-        click.option("--relays", type=click.IntRange(1, MOST_RELAYS), help="In place of the scenario's."),
-        click.option("--boxes", type=click.IntRange(1, MOST_BOXES), help="In place of the scenario's."),
-        click.option("--rate", type=click.FloatRange(0.1), help="Newcomers a second."),
+        click.option(
+            "--relays",
+            type=click.IntRange(1, MOST_RELAYS),
+            help="Number of relays instead of the scenario's.",
+        ),
+        click.option(
+            "--boxes",
+            type=click.IntRange(1, MOST_BOXES),
+            help="Number of backends instead of the scenario's.",
+        ),
+        click.option("--rate", type=click.FloatRange(0.1), help="New connections a second."),
         click.option("--seconds", type=click.FloatRange(4, 3600), help="Length of the run."),
     ):
         command = option(command)
@@ -95,12 +103,12 @@
 
 @main.group()
 def rig() -> None:
-    """Try relays on a fleet of stand-ins, on this machine's loopback alone."""
+    """Test relays against emulated backends and clients on this machine's loopback interface."""
 
 
 @rig.command("list")
 def list_scenarios() -> None:
-    """The scenarios that come with the program."""
+    """List the scenarios that come with the program."""
     from cedarledge.rig.scenario import load_scenario, shipped
 
     for name in shipped():
@@ -123,10 +131,10 @@
         verdict = run_plan(plan, variant, progress, Path(keep) if keep else None)
     except RunError as why:
         click.echo(f"cedarledge: {why}", err=True)
-        sys.exit(LATE if isinstance(why, TooSlowError) else BROKEN)
+        sys.exit(STANDINS_LATE if isinstance(why, TooSlowError) else RULE_BROKEN)
     if out:
-        told = verdict.flat() | {"variant": variant.name}
-        Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(told), indent=1))
+        figures = verdict.flat() | {"variant": variant.name}
+        Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(figures), indent=1))
     if report:
         from cedarledge.rig.report import write_report
 
@@ -141,27 +149,33 @@
     return verdict
 
 
-def _leave(verdict: Any) -> None:
-    sys.exit(LATE if verdict.standins_late else 0 if verdict.holds else BROKEN)
+def _exit_with_verdict(verdict: Any) -> None:
+    sys.exit(STANDINS_LATE if verdict.standins_late else 0 if verdict.holds else RULE_BROKEN)
 
 
 @rig.command()
 @click.argument("scenario")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@_sizes
+@_size_options
 @click.option(
     "--policy",
     type=click.Choice(["cedarledge", *BASELINES]),
     default="cedarledge",
     show_default=True,
-    help="A baseline in the relays' place.",
+    help="A baseline instead of the relays.",
 )
 @click.option("--file", "operator_file", type=click.Path(exists=True), help="Operator file for the relays.")
-@click.option("--off", is_flag=True, help="Without the scenario's own operator file.")
-@click.option("--checkout", type=click.Path(exists=True, file_okay=False), help="Relays of another checkout.")
-@click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the figures there.")
-@click.option("--report", type=click.Path(file_okay=False), help="Write a page with plots into this folder.")
-@click.option("--keep", type=click.Path(file_okay=False), help="Keep books and logs in this folder.")
+@click.option("--off", is_flag=True, help="Run without the scenario's own operator file.")
+@click.option(
+    "--checkout", type=click.Path(exists=True, file_okay=False), help="Run the relays of another checkout."
+)
+@click.option(
+    "--json", "out", type=click.Path(dir_okay=False), help="Write the results as JSON to this file."
+)
+@click.option(
+    "--report", type=click.Path(file_okay=False), help="Write a report with plots into this folder."
+)
+@click.option("--keep", type=click.Path(file_okay=False), help="Keep records and logs in this folder.")
 def run(
     scenario: str,
     seed: int,
@@ -177,28 +191,28 @@
     report: str | None,
     keep: str | None,
 ) -> None:
-    """Run a SCENARIO, by name or file, and judge it."""
+    """Run a SCENARIO, by name or file, and check it against the rules."""
     from cedarledge.rig.demo import LiveTable, summary
     from cedarledge.rig.scenario import load_scenario, without_operator
     from cedarledge.rig.schedule import plan_of
     from cedarledge.rig.variants import variant_of
 
     try:
-        told = load_scenario(scenario)
+        loaded = load_scenario(scenario)
         if off:
-            told = without_operator(told)
+            loaded = without_operator(loaded)
         variant = variant_of(policy, operator_file, checkout)
     except BadFileError as why:
-        _refuse(why)
-    plan = plan_of(told, seed, relays=relays, boxes=boxes, rate=rate, seconds=seconds)
+        _exit_unusable(why)
+    plan = plan_of(loaded, seed, relays=relays, boxes=boxes, rate=rate, seconds=seconds)
     table = LiveTable(plan) if sys.stdout.isatty() else None
-    verdict = _run(told, plan, variant, table, keep, out, report)
+    verdict = _run(loaded, plan, variant, table, keep, out, report)
     click.echo(summary(verdict))
-    _leave(verdict)
+    _exit_with_verdict(verdict)
 
 
-def _arguments(what: str, scenario: str) -> list[str]:
-    """How one side of a comparison is run: a checkout, an operator file, a baseline, or a scenario."""
+def _run_arguments(what: str, scenario: str) -> list[str]:
+    """Returns the arguments of `rig run` for one side: a checkout, operator file, baseline or scenario."""
     from cedarledge.rig.scenario import shipped
 
     if what in shipped():
@@ -223,18 +237,20 @@
 @click.argument("a")
 @click.argument("b")
 @click.option(
-    "--scenario", default="slow", show_default=True, help="Where A and B are no scenarios themselves."
+    "--scenario", default="slow", show_default=True, help="Scenario if A and B are not scenarios themselves."
+)
+@click.option(
+    "--seeds", default="1-8", show_default=True, help="A range like 1-8; each seed makes a pair of runs."
 )
-@click.option("--seeds", default="1-8", show_default=True, help="A span like 1-8; each makes a pair.")
-@_sizes
+@_size_options
 @click.option(
     "--jobs",
     type=click.IntRange(1, 64),
     default=1,
     show_default=True,
-    help="Runs side by side; each wants three cores or so.",
+    help="Parallel runs; each needs about three cores.",
 )
-@click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the comparison there.")
+@click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the comparison to this file.")
 def compare(
     a: str,
     b: str,
@@ -249,10 +265,10 @@
 ) -> None:
     """Compare A with B, seed by seed: two scenarios, operator files, checkouts or baselines.
 
-    A baseline is random, fewest, hash or pass; cedarledge stands for the program itself, off for it without
+    A baseline is random, fewest, hash or pass. `cedarledge` is the program itself, `off` the program without
     the scenario's operator file.
     """
-    from cedarledge.rig.compare import compare as pair_up
+    from cedarledge.rig.compare import compare as compare_pairs
     from cedarledge.rig.compare import run_all
 
     sizes = [
@@ -266,7 +282,7 @@
         if value is not None
         for text in (name, str(value))
     ]
-    sides = [_arguments(what, scenario) for what in (a, b)]
+    sides = [_run_arguments(what, scenario) for what in (a, b)]
     numbers = seeds_of(seeds)
     lists = [[*side, "--seed", str(seed), *sizes] for seed in numbers for side in sides]
     count = itertools.count(1)
@@ -276,13 +292,13 @@
             click.echo(f"\r{next(count)} of {len(lists)} runs", nl=False, err=True)
 
     try:
-        told = run_all(lists, jobs, done)
+        figures = run_all(lists, jobs, done)
     except RuntimeError as why:
         click.echo(f"\ncedarledge: {why}", err=True)
-        sys.exit(BROKEN)
+        sys.exit(RULE_BROKEN)
     if sys.stderr.isatty():
         click.echo(err=True)
-    lines = pair_up(told[0::2], told[1::2])
+    lines = compare_pairs(figures[0::2], figures[1::2])
     click.echo(f"{'':18} {a[:14]:>14} {b[:14]:>14} {'B - A':>10}  95% interval")
     for line in lines:
         click.echo(
@@ -299,17 +315,23 @@
 
 
 @rig.command()
-@click.option("--seeds", default="1-5", show_default=True, help="A span like 1-50.")
-@click.option("--relays", type=click.IntRange(1, MOST_RELAYS), help="In place of what is drawn.")
+@click.option("--seeds", default="1-5", show_default=True, help="A range like 1-50.")
+@click.option(
+    "--relays", type=click.IntRange(1, MOST_RELAYS), help="Number of relays instead of a random one."
+)
 @click.option("--seconds", type=click.FloatRange(12, 120), help="Length of each run.")
-@click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Runs side by side.")
-@click.option("--keep", type=click.Path(file_okay=False), required=True, help="Folder for what each leaves.")
-@click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the results there.")
+@click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Parallel runs.")
+@click.option(
+    "--keep", type=click.Path(file_okay=False), required=True, help="Folder for the files of each run."
+)
+@click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the results to this file.")
 def soak(
     seeds: str, relays: int | None, seconds: float | None, jobs: int, keep: str, out: str | None
 ) -> None:
-    """Play random, overlapping faults on a few dozen processes, judged by the rules and by the relays' own
-    invariants."""
+    """Inject random, overlapping faults into a few dozen processes.
+
+    Each run is checked against the rules and the relays' own invariants.
+    """
     from cedarledge.rig.soak import SoakResult, soak_all
 
     def done(result: SoakResult) -> None:
@@ -322,29 +344,33 @@
     if out:
         Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1))
     held = sum(result.holds for result in results)
-    unplayed = sum(bool(result.problem) for result in results)
-    click.echo(f"{held} of {len(results)} seeds hold, {unplayed} could not be played")
-    sys.exit(0 if held == len(results) else LATE if held + unplayed == len(results) else BROKEN)
+    not_run = sum(bool(result.problem) for result in results)
+    click.echo(f"{held} of {len(results)} seeds hold, {not_run} could not be run")
+    sys.exit(0 if held == len(results) else STANDINS_LATE if held + not_run == len(results) else RULE_BROKEN)
 
 
 @main.command()
 @click.option("--seconds", type=click.FloatRange(12, 120), default=20.0, show_default=True)
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the figures there.")
-@click.option("--report", type=click.Path(file_okay=False), help="Write a page with plots into this folder.")
+@click.option(
+    "--json", "out", type=click.Path(dir_okay=False), help="Write the results as JSON to this file."
+)
+@click.option(
+    "--report", type=click.Path(file_okay=False), help="Write a report with plots into this folder."
+)
 def demo(seconds: float, seed: int, out: str | None, report: str | None) -> None:
-    """Watch a small fleet on this machine: two relays, a slow box, a drain and a killed relay."""
+    """Run a small fleet on this machine: two relays, a slow backend, a drain and a killed relay."""
     from cedarledge.rig.demo import LiveTable, summary
     from cedarledge.rig.scenario import load_scenario
     from cedarledge.rig.schedule import plan_of
     from cedarledge.rig.variants import variant_of
 
-    told = load_scenario("demo")
-    plan = plan_of(told, seed, seconds=seconds)
+    loaded = load_scenario("demo")
+    plan = plan_of(loaded, seed, seconds=seconds)
     click.echo(
-        f"{plan.relays} relays, {len(plan.boxes)} simulated boxes, about "
+        f"{plan.relays} relays, {len(plan.boxes)} emulated backends, about "
         f"{plan.client_terms.standing} clients, for {seconds:g} s; on loopback, as process {os.getpid()}."
     )
-    verdict = _run(told, plan, variant_of(), LiveTable(plan), None, out, report)
+    verdict = _run(loaded, plan, variant_of(), LiveTable(plan), None, out, report)
     click.echo(summary(verdict))
-    _leave(verdict)
+    _exit_with_verdict(verdict)
--- a/cedarledge/net/audit.py
+++ b/cedarledge/net/audit.py
@@ -1,4 +1,4 @@
-"""Looks each second whether the relay keeps what it owes, and says in the log how it fares."""
+"""Checks the relay's invariants once a second, and logs counts."""
 
 from __future__ import annotations
 
@@ -13,96 +13,97 @@
 from cedarledge.net.tunnels import Tunnel, Tunnels
 from cedarledge.terms import MS, SECOND
 
-AUDIT_EVERY = SECOND
-# Log lines of counts are at least so far apart, and only where something has changed.
-SUMMARY_EVERY = 10 * SECOND
-# A connection that brings nothing back has to be moved within this.
+AUDIT_INTERVAL = SECOND
+# Minimum time between two log lines of counts, which are written only if a count has changed.
+SUMMARY_INTERVAL = 10 * SECOND
+# A connection whose backend answers nothing has to be moved within this time.
 LONGEST_SILENCE = 7 * SECOND
-# A wall clock that drifts by less between two looks is being steered; past that it was stepped.
-STEP = 50 * MS
+# A wall clock that shifts by less than this between two checks is being slewed; by more, it was stepped.
+CLOCK_STEP = 50 * MS
 
 
-def wall_clock_lead() -> int:
-    """How far the wall clock stands from the monotonic one, ns."""
+def wall_clock_offset() -> int:
+    """Returns the wall clock minus the monotonic clock, in ns."""
     return time.time_ns() - time.monotonic_ns()
 
 
 class Audit:
-    """Counts requests that are overdue and connections that are held on a silent backend, and notes steps of
-    the wall clock."""
+    """Counts overdue requests, connections kept on a silent backend, and steps of the wall clock."""
 
     def __init__(
         self,
         timers: Timers,
         tunnels: Tunnels,
         invariants: Invariants,
-        wall_clock: Callable[[], int] = wall_clock_lead,
+        wall_clock: Callable[[], int] = wall_clock_offset,
     ) -> None:
+        """Also reports timers that are stuck, through the hook of `timers`."""
         self._timers = timers
         self._tunnels = tunnels
         self._invariants = invariants
         self._wall_clock = wall_clock
-        self._lead = wall_clock()
+        self._offset = wall_clock()
         self.clock_steps = 0
-        self._told_at, self._told = timers.now(), ""
-        self._reported: set[int] = set()  # handles of those that were counted already
-        self._due: Timer | None = None
-        timers.stuck = self._timers_stuck
+        self._logged_at, self._logged = timers.now(), ""
+        self._reported: set[int] = set()  # handles of the tunnels that were counted already
+        self._check_timer: Timer | None = None
+        timers.stuck = self._report_stuck_timers
 
     def start(self) -> None:
-        # Behind what lies unread: a pause of this process is no fault of what it owes.
-        self._due = self._timers.after_reading(AUDIT_EVERY, self._look)
+        """Schedules the next check."""
+        # After input that is still unread: a pause of the whole process breaks no invariant.
+        self._check_timer = self._timers.after_reading(AUDIT_INTERVAL, self._check)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         self.start()
-        self._look_at_wall_clock()
+        self._check_wall_clock()
         now = self._timers.now()
         held = self._tunnels.table.handles()
         self._reported.intersection_update(held)
         for handle in held:
             tunnel = self._tunnels.table.get(handle)
             if handle not in self._reported and tunnel is not None:
-                self._look_at(handle, tunnel, now)
-        if now - self._told_at >= SUMMARY_EVERY:
-            self._told_at = now
+                self._check_tunnel(handle, tunnel, now)
+        if now - self._logged_at >= SUMMARY_INTERVAL:
+            self._logged_at = now
             self.log_summary()
 
-    def _look_at(self, handle: int, tunnel: Tunnel, now: int) -> None:
+    def _check_tunnel(self, handle: int, tunnel: Tunnel, now: int) -> None:
         deadline = tunnel.request.deadline
         if tunnel.over:
             return
         if not tunnel.up:
             if deadline and now > deadline + GRACE:
-                self._broken(Invariant.OVERDUE_REQUEST, handle, tunnel)
+                self._report(Invariant.OVERDUE_REQUEST, handle, tunnel)
         elif tunnel.echo is not None and tunnel.echo.silent_for(now) > LONGEST_SILENCE:
-            self._broken(Invariant.HELD_SILENT, handle, tunnel)
+            self._report(Invariant.HELD_SILENT, handle, tunnel)
 
-    def _broken(self, invariant: Invariant, handle: int, tunnel: Tunnel) -> None:
+    def _report(self, invariant: Invariant, handle: int, tunnel: Tunnel) -> None:
         self._reported.add(handle)
         self._invariants.broken(invariant, self._tunnels.guard.story(tunnel.request))
 
-    def _look_at_wall_clock(self) -> None:
-        lead, before = self._wall_clock(), self._lead
-        self._lead = lead
-        if abs(lead - before) > STEP:
+    def _check_wall_clock(self) -> None:
+        offset, before = self._wall_clock(), self._offset
+        self._offset = offset
+        if abs(offset - before) > CLOCK_STEP:
             self.clock_steps += 1
-            logger.warning("the wall clock was stepped by {} ms", (lead - before) // MS)
+            logger.warning("the wall clock was stepped by {} ms", (offset - before) // MS)
 
-    def _timers_stuck(self, late: int) -> None:
-        self._invariants.broken(Invariant.STUCK_TIMERS, f"the first was due {late // MS} ms ago")
+    def _report_stuck_timers(self, late: int) -> None:
+        self._invariants.broken(Invariant.STUCK_TIMERS, f"the first timer was due {late // MS} ms ago")
 
     def log_summary(self) -> None:
-        """One line of counts, where they have changed."""
+        """Logs one line of counts if a count has changed."""
         text = f"{self._tunnels.counts()}, {self.clock_steps} clock steps, {self._invariants.summary()}"
-        if text != self._told:
-            self._told = text
+        if text != self._logged:
+            self._logged = text
             logger.info("{}", text)
 
     def final_check(self) -> None:
-        """The last look, as the relay ends: nobody may be left without an answer."""
-        self._timers.cancel(self._due)
+        """Runs the last check as the relay ends: no request may be left without an answer."""
+        self._timers.cancel(self._check_timer)
         for handle in self._tunnels.table.handles():
             tunnel = self._tunnels.table.get(handle)
             if tunnel is not None and not tunnel.over:
-                self._broken(Invariant.CLOSED_UNANSWERED, handle, tunnel)
+                self._report(Invariant.CLOSED_UNANSWERED, handle, tunnel)
         self.log_summary()
--- a/cedarledge/net/clients.py
+++ b/cedarledge/net/clients.py
@@ -7,10 +7,10 @@
 
 from twisted.internet.interfaces import IAddress
 
-from cedarledge.net.evicting_listener import EvictingListener
 from cedarledge.net.invariants import Invariant
 from cedarledge.net.lines import figure
 from cedarledge.net.links import ConnectionContext, Link
+from cedarledge.net.listeners import EvictingListener
 from cedarledge.net.seams import Taker
 from cedarledge.terms import MS
 
--- a/cedarledge/net/config.py
+++ b/cedarledge/net/config.py
@@ -1,4 +1,4 @@
-"""What a relay is told at its start and on SIGHUP, from the file that BALANCER_CONFIG names."""
+"""Configuration of a relay: the JSON file that BALANCER_CONFIG names, read at the start and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -15,26 +15,28 @@
 from cedarledge.settings import check_settings
 
 Address = tuple[str, int]
-# Of opening and reading a file: it may be read in a moment.
-NOT_READ = NOT_NOW | {errno.EIO}
-# How often a start tries to read its file, and how far apart in seconds.
-START_READ_ATTEMPTS, READ_AGAIN = 20, 0.05
+# Errors of opening and reading a file that may be gone at the next attempt.
+TRANSIENT_READ_ERRORS = NOT_NOW | {errno.EIO}
+# Attempts to read the file at the start, and the seconds between two of them.
+START_READ_ATTEMPTS, READ_RETRY_DELAY_S = 20, 0.05
 
 
 class BadConfigError(Exception):
-    """The relay can't start, or go on, with what it was told."""
+    """Raised for a configuration that can't be used. The message names the file and the problem."""
 
 
 class TransientConfigError(BadConfigError):
-    """The file can't be read for want of something that this machine may have in a moment."""
+    """Raised if the file can't be read at present, for lack of descriptors or memory for instance."""
 
 
 class RelayConfig(NamedTuple):
+    """A checked configuration."""
+
     name: str
     listen: Address
     discovery: Address
-    control: Address | None  # where operators call; None: nowhere
-    inherited: int | None  # the descriptor of the clients' listening socket; None: it is this process's own
+    control: Address | None  # address of the operators' HTTP calls; None: not served
+    inherited: int | None  # descriptor of the clients' listening socket; None: this process opens its own
     seed: int
     sockets: int
     known: dict[str, Any]
@@ -42,75 +44,81 @@
 
 
 def parse_address(text: str) -> Address:
+    """Parses `host:port`; raises ValueError."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not 0 < int(port) < 65536:
-        raise ValueError(f"no address: {text!r}")
+        raise ValueError(f"not an address with a port: {text!r}")
     return host, int(port)
 
 
-def _control_address(told: Any) -> Address:
+def _control_address(value: Any) -> Address:
     try:
-        return parse_address(told)
+        return parse_address(value)
     except (ValueError, AttributeError) as why:
-        raise ValueError(f"control: expected an address and a port, got {told!r}") from why
+        raise ValueError(f"control: expected an address and a port, got {value!r}") from why
 
 
-def _listening(told: str | None) -> int | None:
-    """The descriptor, if it is one and its socket listens."""
-    if not told:
+def _inherited_listener(value: str | None) -> int | None:
+    """Returns the descriptor if it is that of a listening IPv4 socket; raises ValueError."""
+    if not value:
         return None
     try:
-        with socket.socket(fileno=os.dup(int(told))) as found:
-            listens = found.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-            if found.family != socket.AF_INET or not listens:
-                raise ValueError("it does not listen")
+        with socket.socket(fileno=os.dup(int(value))) as listener:
+            listens = listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+            if listener.family != socket.AF_INET or not listens:
+                raise ValueError("not a listening IPv4 socket")
     except (ValueError, OverflowError, OSError) as why:
-        raise ValueError(f"BALANCER_LISTEN_FD: expected a listening socket, got {told!r}: {why}") from why
-    return int(told)
+        raise ValueError(f"BALANCER_LISTEN_FD: expected a listening socket, got {value!r}: {why}") from why
+    return int(value)
 
 
 def _read_file(path: Path) -> bytes:
     return path.read_bytes()
 
 
-def _read_patiently(path: Path, tries: int) -> bytes:
-    """Reads a file, and waits a little before each further try where this machine lacks something for it.
-    Raises BadConfigError."""
-    for left in reversed(range(tries)):
+def _read_with_retries(path: Path, attempts: int) -> bytes:
+    """Reads a file in at most `attempts` attempts, with a short wait before each retry of a transient error.
+
+    Raises BadConfigError; TransientConfigError if the last attempt failed with a transient error.
+    """
+    for remaining in reversed(range(attempts)):
         try:
             return _read_file(path)
         except OSError as why:
-            if why.errno not in NOT_READ:
+            if why.errno not in TRANSIENT_READ_ERRORS:
                 raise BadConfigError(f"{path}: {why.strerror}") from why
-            if not left:
+            if not remaining:
                 raise TransientConfigError(f"{path}: {why.strerror}") from why
-        time.sleep(READ_AGAIN)
-    raise ValueError(f"tries: {tries}")
+        time.sleep(READ_RETRY_DELAY_S)
+    raise ValueError(f"attempts: {attempts}")
+
 
+def read_config(environ: Mapping[str, str], attempts: int = 1) -> RelayConfig:
+    """Reads and checks the file that BALANCER_CONFIG names.
 
-def read_config(environ: Mapping[str, str], tries: int = 1) -> RelayConfig:
-    """What BALANCER_CONFIG's file tells. With more tries than one it waits in between for a file that can't
-    be read for a moment. Raises BadConfigError; ShortageError where another try may read it."""
+    With more than one attempt it blocks for a moment between them. Raises BadConfigError;
+    TransientConfigError if a later attempt may succeed.
+    """
     path = environ.get("BALANCER_CONFIG")
     if not path:
         raise BadConfigError("BALANCER_CONFIG is not set")
     try:
-        told = json.loads(_read_patiently(Path(path), tries))
+        data = json.loads(_read_with_retries(Path(path), attempts))
     except (ValueError, RecursionError) as why:
         raise BadConfigError(f"{path}: not JSON: {why}") from why
     try:
-        # The platform's word to this process goes before the file's, which two processes may share.
-        control = environ.get("BALANCER_CONTROL") or told.get("control")
+        # The environment, which is this process's own, overrides the file, which two processes may share.
+        control = environ.get("BALANCER_CONTROL") or data.get("control")
         config = RelayConfig(
-            name=str(told["name"]),
-            listen=parse_address(told["listen"]),
-            discovery=parse_address(told["discovery"]),
+            name=str(data["name"]),
+            listen=parse_address(data["listen"]),
+            discovery=parse_address(data["discovery"]),
             control=None if control is None else _control_address(control),
-            inherited=_listening(environ.get("BALANCER_LISTEN_FD")),
-            seed=int(told["seed"], 16),
-            sockets=int(told["limits"]["sockets"]),
-            known=dict(told["known"]),
-            settings=told["settings"],
+            inherited=_inherited_listener(environ.get("BALANCER_LISTEN_FD")),
+            seed=int(data["seed"], 16),
+            sockets=int(data["limits"]["sockets"]),
+            known=dict(data["known"]),
+            settings=data["settings"],
         )
         check_settings(config.settings)
         return config
--- a/cedarledge/net/control.py
+++ b/cedarledge/net/control.py
@@ -1,4 +1,4 @@
-"""Where operators call: HTTP/1.1, one call to a connection, an answer of one line."""
+"""The operators' HTTP/1.1 interface: one call per connection, answered with one line of text."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from twisted.internet.interfaces import IAddress
 
 from cedarledge.net.buffers import Pool
-from cedarledge.net.evicting_listener import ACCEPTS_PER_TURN, EvictingListener
 from cedarledge.net.links import ConnectionContext, Link
+from cedarledge.net.listeners import ACCEPTS_PER_TURN, EvictingListener
 from cedarledge.net.service import ServiceState, UnknownBackendError
 from cedarledge.net.slots import Slots
 from cedarledge.terms import MS
@@ -19,12 +19,12 @@
 if TYPE_CHECKING:
     from cedarledge.net.handover import Handover
 
-# Callers at a time, in descriptors that clients can't take; and of these, what is kept free: that many may
-# come in before one that was made to leave has left.
-MAX_CALLERS, ROOM = 24, 10
-# No call comes near these; what is longer is not read on.
+# Connections at a time, on descriptors that clients can't take; and how many of these are kept free, since
+# that many may be accepted before an evicted connection is closed.
+MAX_CALLERS, SPARE_SLOTS = 24, 10
+# Far above the size of any call; longer ones are refused.
 MAX_HEAD_BYTES, MAX_BODY_BYTES = 8 << 10, 64 << 10
-# For a whole call, from connecting on.
+# Time for a complete call, from the connect on.
 CALL_TIMEOUT = 2000 * MS
 READY, BACKENDS = "/control/ready", "/control/backends/"
 CALLS = {"/control": ("out-of-service", "in-service"), BACKENDS: ("offline", "online")}
@@ -43,16 +43,21 @@
 
 
 class Call(NamedTuple):
+    """A request of an operator; `path` is without the query."""
+
     method: str
     path: str
 
 
 class Answer(NamedTuple):
+    """A response: HTTP status, one line of text, and the methods for the Allow header."""
+
     status: int
     text: str
     allow: str = ""
 
-    def line(self) -> bytes:
+    def encode(self) -> bytes:
+        """Returns the complete HTTP response."""
         body = self.text.encode("ascii", "backslashreplace") + b"\n"
         allow = f"Allow: {self.allow}\r\n" if self.allow else ""
         head = (
@@ -63,22 +68,25 @@
 
 
 class CallError(Exception):
-    """What can't be dealt with, and the answer to it."""
+    """Raised for a malformed call; `answer` is the response to it."""
 
     def __init__(self, status: int, text: str) -> None:
+        """Takes the HTTP status and the text of the response."""
         super().__init__(text)
         self.answer = Answer(status, text)
 
 
 class CallReader:
-    """Reads one call from a stream. What stands behind it is nobody's."""
+    """Parses one call from a stream, and ignores all bytes behind it."""
 
     def __init__(self) -> None:
+        """Starts with an empty buffer."""
         self._data = b""
         self._call: Call | None = None
-        self._left = 0  # of the body
+        self._body_left = 0  # bytes of the body still to come
 
     def feed(self, data: bytes) -> Call | None:
+        """Takes the next bytes; returns the call once it is complete, or None. Raises CallError."""
         if self._call is None:
             self._data += data
             end = self._data.find(b"\r\n\r\n")
@@ -87,12 +95,12 @@
             if end < 0:
                 return None
             head, data = self._data[:end], self._data[end + 4 :]
-            self._call, self._left = self._head(head)
-        # The body of a call means nothing here; it only has to be through.
-        self._left -= len(data)
-        return self._call if self._left <= 0 else None
+            self._call, self._body_left = self._parse_head(head)
+        # The content of the body is ignored, but all of it has to arrive.
+        self._body_left -= len(data)
+        return self._call if self._body_left <= 0 else None
 
-    def _head(self, head: bytes) -> tuple[Call, int]:
+    def _parse_head(self, head: bytes) -> tuple[Call, int]:
         first, *lines = head.decode("latin-1").split("\r\n")
         words = first.split(" ")
         if len(words) != 3 or not all(words) or not words[2].startswith("HTTP/1."):
@@ -117,24 +125,30 @@
 
 
 class CallLink(Link):
-    """One caller. It has its answer in the event that brings the last byte of its call, or once the other
-    process of this relay knows of it."""
+    """One operator's connection.
+
+    The answer goes out in the event that brings the last byte of the call, or once the other process of this
+    relay has acknowledged the call.
+    """
 
     peer = "operator"
 
     def __init__(self, control: Control) -> None:
+        """Passes complete calls to `control`."""
         super().__init__(control.context)
         self.control = control
         self.reader = CallReader()
 
     def came_up(self) -> None:
+        """Starts the time limit for the call."""
         self.control.mark_waiting(self)
-        self.due_in(CALL_TIMEOUT, self._too_late, reads_first=True)
+        self.due_in(CALL_TIMEOUT, self._timed_out, reads_first=True)
 
-    def _too_late(self) -> None:
+    def _timed_out(self) -> None:
         self.answer(Answer(408, "no whole call in time"))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Parses the call, and runs it once it is complete."""
         if self.ending:
             super().dataReceived(data)
             return
@@ -149,20 +163,22 @@
         else:
             self.control.protect(self)
             self.nothing_due()
-            self.control.carry_out(call, self.answer)
+            self.control.handle_call(call, self.answer)
 
     def answer(self, answer: Answer) -> None:
+        """Sends the response and closes the connection."""
         if not self.ending:
             self.control.protect(self)
-            self.transport.write(answer.line())
+            self.transport.write(answer.encode())
             self.finish()
 
     def writeConnectionLost(self) -> None:  # noqa: N802
-        # Only once the answer is written: who makes room is reset, and it would go with that.
+        """Allows the eviction of this connection once the answer is written."""
+        # Not earlier: an evicted connection is reset, and an answer not written yet would be lost.
         self.control.mark_answered(self)
 
     def peer_ended(self, abrupt: bool) -> None:
-        """It asked for nothing that goes on without it."""
+        """Does nothing: no call needs its operator once it has started."""
 
     def _gone(self) -> None:
         super()._gone()
@@ -170,23 +186,30 @@
 
 
 class Control(EvictingListener):
-    """The operators' front. Callers that hold a connection and ask nothing make room for the next."""
+    """The listener for operators' calls.
+
+    Connections without a call are closed when new ones need their slots.
+    """
 
-    spare_slots = ROOM
+    spare_slots = SPARE_SLOTS
 
     def __init__(self, context: ConnectionContext, service: ServiceState, handover: Handover | None) -> None:
+        """Uses slots of its own, so that clients can't take those of operators."""
         super().__init__(context._replace(links=Slots(MAX_CALLERS), pool=Pool(0, 0)))
         self.service = service
-        self.handover = handover  # to another process of this relay, where there can be one
+        self.handover = handover  # None if this relay can't have another process
 
     def buildProtocol(self, addr: IAddress) -> CallLink | None:  # noqa: N802
+        """Accepts a connection, or refuses it if no slot is left."""
         self.evict_idle()
-        # After a pause of this process Twisted would take in 24 in its next turn, more than have a place: the
-        # first of them would make room for the last before their calls were read.
+        # Twisted raises the limit of accepts after this call. After a pause of this process it would then
+        # accept 24 connections in its next turn, more than there are slots, and the first of them would be
+        # evicted for the last before their calls were read.
         self.context.timers.after(0, setattr, self.port, "numberAccepts", ACCEPTS_PER_TURN)
         return CallLink(self) if self.context.links.left else None
 
-    def carry_out(self, call: Call, answer: Callable[[Answer], None]) -> None:
+    def handle_call(self, call: Call, answer: Callable[[Answer], None]) -> None:
+        """Runs a call; passes the response to `answer` once the other process, if any, has the call too."""
         *start, last = call.path.split("/")
         start, name = "/".join(start), ""
         if start.startswith(BACKENDS):
@@ -204,23 +227,23 @@
             why_not = self.service.why_not_ready()
             answer(Answer(503, why_not) if why_not else Answer(200, "ready"))
         else:
-            done = self._act(last, name)
-            logger.info("operator: {}: {} {}", call.path, done.status, done.text)
-            if done.status == 200 and self.handover is not None:
-                # What one of the two is told both know before the yes.
-                self.handover.forward(last, name, lambda: answer(done))
+            result = self._run_operation(last, name)
+            logger.info("operator: {}: {} {}", call.path, result.status, result.text)
+            if result.status == 200 and self.handover is not None:
+                # Both processes of the relay must have the change before the operator gets the answer.
+                self.handover.forward(last, name, lambda: answer(result))
             else:
-                answer(done)
+                answer(result)
 
-    def _act(self, what: str, name: str) -> Answer:
-        if what == "in-service" and self.service.stopping and not self.service.replaced:
+    def _run_operation(self, operation: str, name: str) -> Answer:
+        if operation == "in-service" and self.service.stopping and not self.service.replaced:
             return Answer(409, "this process ends")
         try:
-            self.service.operations[what](*((name,) if name else ()))
+            self.service.operations[operation](*((name,) if name else ()))
         except UnknownBackendError:
             return Answer(404, f"no list has named a backend {name[:80]}")
         except Exception:
-            # Whoever called is owed an answer, and the others theirs.
-            logger.exception("{} failed", what)
+            # This operator must get an answer, and the relay must go on.
+            logger.exception("{} failed", operation)
             return Answer(500, "failed, see the log")
-        return Answer(200, f"{name} {what}".strip())
+        return Answer(200, f"{name} {operation}".strip())
--- a/cedarledge/net/eventlog.py
+++ b/cedarledge/net/eventlog.py
@@ -1,4 +1,4 @@
-"""A log line for each thing that happens, as far as the operator asks for it."""
+"""Writes a log line for each event of the categories that the operator selects."""
 
 from __future__ import annotations
 
@@ -12,33 +12,41 @@
 
 
 class EventLog(Hearer):
-    """Names: tunnel.arrived, tunnel.setup, tunnel.opened, tunnel.setup_over, tunnel.answered, tunnel.moved,
-    tunnel.ended, list.changed, list.lost, box.probed. Durations are ns."""
+    """Logs events with their fields.
+
+    Event names: tunnel.arrived, tunnel.setup, tunnel.opened, tunnel.setup_over, tunnel.answered,
+    tunnel.moved, tunnel.ended, list.changed, list.lost, box.probed. Durations are in ns.
+    """
 
     def __init__(self, events: Collection[str], profiles: Sequence[str], boxes: Sequence[str]) -> None:
+        """Logs the categories in `events`; `profiles` and `boxes` are names by index."""
         self._events = frozenset(events)
         self._profiles = profiles
-        self._boxes = boxes  # grows with the list
+        self._boxes = boxes  # shared with the backend list, which appends new names
 
-    def _say(self, sort: str, event: str, **fields: Any) -> None:
-        if sort in self._events:
+    def _log_event(self, category: str, event: str, **fields: Any) -> None:
+        if category in self._events:
             logger.bind(event=event, **fields).info(
                 "{} {}", event, " ".join(f"{name}={value}" for name, value in fields.items())
             )
 
     def arrived(self, now: int, tun: int, profile: int, returning: bool) -> None:
-        self._say(
+        """Logs a request that was taken in, with its profile and whether the client came back."""
+        self._log_event(
             "arrived", "tunnel.arrived", tunnel=tun, profile=self._profiles[profile], returning=returning
         )
 
     def set_up(self, now: int, tun: int, ep: int, timeout: int) -> None:
-        self._say("setup", "tunnel.setup", tunnel=tun, backend=self._boxes[ep], timeout=timeout)
+        """Logs an attempt that goes out, with its time-out."""
+        self._log_event("setup", "tunnel.setup", tunnel=tun, backend=self._boxes[ep], timeout=timeout)
 
     def opened(self, now: int, tun: int, ep: int, took: int) -> None:
-        self._say("opened", "tunnel.opened", tunnel=tun, backend=self._boxes[ep], took=took)
+        """Logs a tunnel that its backend accepted, with the duration of the attempt."""
+        self._log_event("opened", "tunnel.opened", tunnel=tun, backend=self._boxes[ep], took=took)
 
     def setup_over(self, now: int, tun: int, ep: int, outcome: Outcome, took: int, was_open: bool) -> None:
-        self._say(
+        """Logs an attempt that failed, or an open tunnel that its backend ended."""
+        self._log_event(
             "setup",
             "tunnel.setup_over",
             tunnel=tun,
@@ -49,7 +57,8 @@
         )
 
     def answered(self, now: int, tun: int, declined: bool, took: int) -> None:
-        self._say(
+        """Logs a rejection (`declined`) or an error that was sent to the client."""
+        self._log_event(
             "answered",
             "tunnel.answered",
             tunnel=tun,
@@ -58,16 +67,20 @@
         )
 
     def moved(self, now: int, tun: int, ep: int) -> None:
-        self._say("moved", "tunnel.moved", tunnel=tun, backend=self._boxes[ep])
+        """Logs a client that was told to reconnect elsewhere."""
+        self._log_event("moved", "tunnel.moved", tunnel=tun, backend=self._boxes[ep])
 
     def ended(self, now: int, tun: int, took: int) -> None:
-        self._say("ended", "tunnel.ended", tunnel=tun, took=took)
+        """Logs the end of a tunnel, with the time since it arrived."""
+        self._log_event("ended", "tunnel.ended", tunnel=tun, took=took)
 
     def listed(self, now: int, form: ListForm, entries: list[Listed]) -> None:
+        """Logs a change of the backend list with the number of entries, or its loss."""
         if form is ListForm.UNAVAILABLE:
-            self._say("list", "list.lost")
+            self._log_event("list", "list.lost")
         else:
-            self._say("list", "list.changed", form=form.name.lower(), entries=len(entries))
+            self._log_event("list", "list.changed", form=form.name.lower(), entries=len(entries))
 
     def probed(self, now: int, ep: int, answered: bool, report: LoadReport) -> None:
-        self._say("probe", "box.probed", backend=self._boxes[ep], answered=answered, asked=report.asked)
+        """Logs the end of a probe and the load that the backend reported."""
+        self._log_event("probe", "box.probed", backend=self._boxes[ep], answered=answered, asked=report.asked)
--- a/cedarledge/net/handover.py
+++ b/cedarledge/net/handover.py
@@ -1,9 +1,10 @@
-"""From one process of a relay to the next, where both inherit the clients' listening socket.
+"""Hot restart: the hand-over between two processes of a relay that inherit the clients' listening socket.
 
-The new process asks the old one over a Unix socket in $TMPDIR, and has the answer before it serves. From its
-answer on the old one takes no connections in, for as long as a lease; the new one opens its listener within
-it and says so. Their connection stays: by it each tells the other what operators call, and the old one what
-it still holds. Lines of JSON, both ways.
+The new process asks the old one for its state over a Unix socket in $TMPDIR, and has the answer before it
+serves. From its answer on the old process accepts no connections for the length of a lease. The new process
+starts to accept them within the lease and confirms it. The connection stays open: each process forwards
+operators' calls to the other one over it, and the old one reports how many descriptors it still holds.
+Messages are lines of JSON.
 """
 
 from __future__ import annotations
@@ -36,30 +37,33 @@
 from cedarledge.settings import mark_of
 from cedarledge.terms import MS, ListForm
 
-# Of what is told. Another version is not understood, and who asks in one goes on alone.
+# Version of the protocol. A process that asks in another version is refused and starts without the old state.
 VERSION = 2
-# How long the old one may take to answer: the new one has 6 s for its whole start.
+# Time for the old process to answer: the new one has 6 s for its whole start.
 ANSWER_TIMEOUT_S = 1.5
-# How long the old one takes no connections in without a word that the new one does.
+# How long the old process accepts no connections without confirmation that the new one does.
 LEASE = 1500 * MS
-# For the other process to say that it has heard a call; operators are owed their answer within 1 s.
+# Time for the other process to acknowledge an operator's call; operators must have their answer within 1 s.
 ACKNOWLEDGE_WITHIN = 500 * MS
 REPORT_HELD_EVERY = 250 * MS
-# No list comes near this; a message past it is not read on.
+# Far above the size of any list of backends; a longer message is refused.
 MAX_MESSAGE_BYTES = 8 << 20
 MAX_FOLDER_PATH_BYTES = 60
-# Of the fields of /proc/PID/stat behind the process's name.
+# Index of the start time among the fields of /proc/PID/stat that follow the process name.
 START_TIME_FIELD = 19
 
 
 class HandoverMessageError(Exception):
-    """What the other side says can't be used."""
+    """Raised for a message of the other process that is malformed or unexpected."""
 
 
 class HandoverState(NamedTuple):
-    """What the old process leaves to the new one."""
+    """The state that the old process passes to the new one. The field names are keys of the JSON message.
 
-    until: int  # on the clock that all processes of a machine share: the lease's end
+    Times are in ns.
+    """
+
+    until: int  # end of the lease on the monotonic clock, which all processes of the machine share
     revision: int | None
     members: list[dict[str, Any]]
     banned: dict[str, int]
@@ -68,24 +72,25 @@
     ids: list[str]
     held: int
     beliefs: dict[str, Any]
-    # How far the old process's clock, by which `banned` and `back` are told, and Unix time as it knew it
-    # stand from the clock that both share. A release that does not tell is taken to have had this one's.
+    # The old process's clock, on which `banned` and `back` are given, and Unix time as it knew it, each minus
+    # the monotonic clock. Releases that don't send them are assumed to have the same offsets as this process.
     clock_offset: int | None = None
     unix_offset: int | None = None
 
 
 def parse_handover_state(line: bytes) -> HandoverState:
-    told = read_message(line)
-    if told.get("version") != VERSION:
-        raise HandoverMessageError(f"version {told.get('version')!r}: {str(told.get('no'))[:80]}")
+    """Parses and checks the old process's answer; raises HandoverMessageError."""
+    message = read_message(line)
+    if message.get("version") != VERSION:
+        raise HandoverMessageError(f"version {message.get('version')!r}: {str(message.get('no'))[:80]}")
     try:
-        estate = HandoverState(**told["estate"])
+        state = HandoverState(**message["estate"])
     except (KeyError, TypeError) as why:
-        raise HandoverMessageError(f"not an estate: {why!r}") from why
-    wrong = [name for name, is_right in FIELD_CHECKS.items() if not is_right(getattr(estate, name))]
+        raise HandoverMessageError(f"not a hand-over state: {why!r}") from why
+    wrong = [name for name, is_valid in FIELD_CHECKS.items() if not is_valid(getattr(state, name))]
     if wrong:
-        raise HandoverMessageError(f"not an estate: {', '.join(wrong)}")
-    return estate
+        raise HandoverMessageError(f"not a hand-over state: wrong type of {', '.join(wrong)}")
+    return state
 
 
 def _is_number(value: Any) -> bool:
@@ -112,44 +117,48 @@
 
 
 def read_message(line: bytes) -> dict[str, Any]:
+    """Parses one line as a JSON object; raises HandoverMessageError."""
     try:
-        told = json.loads(line)
+        message = json.loads(line)
     except (ValueError, RecursionError) as why:
         raise HandoverMessageError(f"not JSON: {why}") from why
-    if not isinstance(told, dict):
+    if not isinstance(message, dict):
         raise HandoverMessageError("not an object")
-    return told
+    return message
 
 
 def encode_message(**fields: Any) -> bytes:
+    """Encodes a message as one line; the keywords are the keys of the JSON object."""
     return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
 
 
 def is_same_user(link: socket.socket) -> bool:
-    """Whether the peer runs as the same user as this process."""
+    """Returns whether the peer process runs as the same user as this one."""
     user = struct.unpack("3i", link.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))[1]
     return user == os.getuid()
 
 
 class PredecessorReply(NamedTuple):
-    """The process before: the connection to it, what it leaves, and what more it has said by then."""
+    """The connection to the previous process, its state, and the bytes that it has sent after that."""
 
     link: socket.socket
-    estate: HandoverState
+    state: HandoverState
     rest: bytes
 
 
 def ask_predecessor(folder: Path, name: str) -> PredecessorReply | None:
-    """The process before, the newest first; None where there is none that answers. It waits, as nothing is
-    served yet."""
-    by = time.monotonic() + ANSWER_TIMEOUT_S
+    """Asks the previous process for its state, and tries the newest process first.
+
+    Returns None if no process answers. It blocks, as nothing is served yet.
+    """
+    deadline = time.monotonic() + ANSWER_TIMEOUT_S
     paths = set(folder.glob(socket_path(folder, name, "*").name)) - {socket_path(folder, name)}
     for path in sorted(paths, key=_process_started_at, reverse=True):
         link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            return PredecessorReply(link, *_exchange(link, path, name, by))
+            return PredecessorReply(link, *_exchange(link, path, name, deadline))
         except (ConnectionRefusedError, FileNotFoundError):
-            logger.info("handover: {} is left over, nobody listens there", path.name)
+            logger.info("handover: {} is left over, no process listens on it", path.name)
         except (OSError, HandoverMessageError) as why:
             logger.warning("handover: {}: {}", path.name, why)
         link.close()
@@ -157,87 +166,96 @@
 
 
 def _process_started_at(path: Path) -> int:
-    """When the process behind a socket started, in clock ticks since the machine did; 0: it has ended. The
-    file's own time would be by the wall clock, and the older of two processes could seem the newer."""
+    """Returns when the process of a socket file started, in clock ticks since boot; 0 if it has ended.
+
+    The modification time of the file is on the wall clock: after a step of it, the older of two processes
+    could seem the newer one.
+    """
     process = path.stem.rpartition("-")[2]
     try:
         status = Path(f"/proc/{process}/stat").read_text()
     except OSError:
         return 0
-    # The second field is a name in parentheses, and may hold anything.
+    # The second field is the process name in parentheses, which may contain spaces and parentheses.
     return int(status.rpartition(")")[2].split()[START_TIME_FIELD])
 
 
-def _exchange(link: socket.socket, path: Path, name: str, by: float) -> tuple[HandoverState, bytes]:
-    def left() -> float:
-        if time.monotonic() >= by:
+def _exchange(link: socket.socket, path: Path, name: str, deadline: float) -> tuple[HandoverState, bytes]:
+    def time_left() -> float:
+        if time.monotonic() >= deadline:
             raise TimeoutError("no answer in time")
-        return by - time.monotonic()
+        return deadline - time.monotonic()
 
-    link.settimeout(left())
+    link.settimeout(time_left())
     link.connect(str(path))
     if not is_same_user(link):
-        raise HandoverMessageError("another user's")
+        raise HandoverMessageError("the process belongs to another user")
     link.sendall(encode_message(version=VERSION, name=name))
     data = bytearray()
     while b"\n" not in data:
-        link.settimeout(left())
+        link.settimeout(time_left())
         part = link.recv(1 << 16)
         if not part:
-            raise HandoverMessageError("it ended before its answer did")
+            raise HandoverMessageError("the connection was closed before the answer was complete")
         data += part
         if len(data) > MAX_MESSAGE_BYTES:
-            raise HandoverMessageError("an answer past all measure")
+            raise HandoverMessageError("the answer is too long")
     line, _, rest = bytes(data).partition(b"\n")
     return parse_handover_state(line), rest
 
 
 def _short_path(folder: Path) -> Path:
-    """The folder by a path that leaves room for a name in a Unix socket's address, of 108 bytes in all."""
+    """Returns a path of the folder that leaves room for a file name in a Unix socket address of 108 bytes."""
     if len(os.fsencode(folder)) <= MAX_FOLDER_PATH_BYTES or not folder.is_dir():
         return folder
-    # Kept for as long as this process runs: the system follows the descriptor to the folder.
+    # The descriptor stays open for as long as this process runs: the path leads through it.
     return Path(f"/proc/self/fd/{os.open(folder, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)}")
 
 
 def socket_path(folder: Path, name: str, process: int | str = "") -> Path:
+    """Returns the socket of a process of relay `name`, by default this one; "*" gives a pattern for all."""
     return folder / f"cedarledge-{mark_of(name):x}-{process or os.getpid()}.sock"
 
 
 class PeerProcess(Protocol):
-    """The connection to the other process. It is the handover's until it is lost."""
+    """The connection to another process of this relay. Incoming messages go to the Handover."""
 
     transport: Any
 
     def __init__(self, handover: Handover) -> None:
+        """Passes messages and the end of the connection on to `handover`."""
         self.handover = handover
         self.rest = b""
 
     def connectionMade(self) -> None:  # noqa: N802
+        """Closes connections from processes of other users."""
         if not is_same_user(self.transport.socket):
-            logger.warning("handover: another user's process asked")
+            logger.warning("handover: refused a process of another user")
             self.transport.abortConnection()
 
     def send(self, **fields: Any) -> None:
+        """Sends a message; the keywords are the keys of the JSON object."""
         self.transport.write(encode_message(**fields))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Handles all complete lines; closes the connection on a malformed or too long message."""
         *lines, self.rest = (self.rest + data).split(b"\n")
         try:
             for line in lines:
                 self.handover.message_received(self, read_message(line))
             if len(self.rest) > MAX_MESSAGE_BYTES:
-                raise HandoverMessageError("a message past all measure")
+                raise HandoverMessageError("the message is too long")
         except HandoverMessageError as why:
             logger.warning("handover: {}", why)
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
+        """Reports the end of the connection."""
         self.handover.connection_lost(self)
 
 
 class Handover(ServerFactory):
-    """Both ends of it: a process takes over when it starts, and hands over when the next one does."""
+    """Both sides of the hand-over: a process takes over as it starts, and hands over to the next one."""
 
     noisy = False
 
@@ -252,6 +270,7 @@
         listener: Front,
         watching: Watch,
     ) -> None:
+        """Uses sockets in `folder`; `name` is the relay's name, which both processes have."""
         self.reactor = context.reactor
         self.timers = context.timers
         self.links = context.links
@@ -262,82 +281,89 @@
         self.tunnels = tunnels
         self.listener = listener
         self.watching = watching
-        self.predecessor: PeerProcess | None = None  # the process that this one took over from
-        self.successor: PeerProcess | None = None  # the one that takes over from this one
+        self.predecessor: PeerProcess | None = None  # the process from which this one took over
+        self.successor: PeerProcess | None = None  # the process that takes over from this one
         self._lease_timer: Timer | None = None
         self._call_numbers = count(1)
         self._unacknowledged: dict[int, tuple[PeerProcess, Timer, Callable[[], None]]] = {}
 
     def listen(self) -> None:
-        """A process that can't be asked still serves; the next one then goes on alone."""
+        """Opens the socket on which the next process asks.
+
+        A failure is only logged: this process still serves, and the next one starts without its state.
+        """
         path = socket_path(self.folder, self.name)
         mask = os.umask(0o177)
         try:
             path.unlink(missing_ok=True)
             self.reactor.listenUNIX(str(path), self, mode=0o600, backlog=4)
         except (OSError, CannotListenError) as why:
-            logger.error("handover: can't be asked: {}", why)
+            logger.error("handover: can't open the socket for the next process: {}", why)
         finally:
             os.umask(mask)
 
     def buildProtocol(self, addr: IAddress) -> PeerProcess:  # noqa: N802
+        """Accepts a connection of a next process."""
         return PeerProcess(self)
 
     # -- taking over -------------------------------------------------------------------------------
 
     def take_over(self) -> None:
-        """From the process before, if there is one that answers. The listener is to be opened next: that one
-        leaves it to this one for as long as the lease."""
+        """Takes over from the previous process if one answers.
+
+        The caller opens the listener next: the previous process accepts no connections for the length of the
+        lease.
+        """
         for _ in range(2):
-            found = ask_predecessor(self.folder, self.name)
-            if found is None:
+            reply = ask_predecessor(self.folder, self.name)
+            if reply is None:
                 break
-            self._adopt_connection(found)
+            self._adopt_connection(reply)
             try:
-                self._import_state(found.estate)
+                self._import_state(reply.state)
             except (KeyError, TypeError, ValueError, AttributeError) as why:
-                logger.warning("handover: what the process before leaves can't be used: {!r}", why)
+                logger.warning("handover: the state of the previous process can't be used: {!r}", why)
                 self._abandon()
                 break
-            if time.monotonic_ns() < found.estate.until:
-                logger.info("handover: takes over")
+            if time.monotonic_ns() < reply.state.until:
+                logger.info("handover: takes over from the previous process")
                 self.predecessor.send(taken=True)
                 return
-            # This process was held up past the lease, and the one before takes connections in again.
+            # This process was delayed past the lease, and the previous one accepts connections again.
             self._abandon()
         logger.info("handover: goes on alone")
 
-    def _import_state(self, estate: HandoverState) -> None:
+    def _import_state(self, state: HandoverState) -> None:
         eps, shared_now = self.boxes.eps, time.monotonic_ns()
         own_offset = self.timers.now() - shared_now
-        # The wall clock may have been stepped between the starts of the two.
-        shift = 0 if estate.clock_offset is None else own_offset - estate.clock_offset
-        if estate.unix_offset is not None:
-            self.boxes.start_times.follow_unix_offset(estate.unix_offset, shared_now)
-        self.boxes.banned = {eps[name]: since + shift for name, since in estate.banned.items()}
-        self.boxes.back = {eps[name]: at + shift for name, at in estate.back.items()}
-        self.boxes.take_in(ListForm.WHOLE, estate.members)
+        # The two processes' clocks differ if the wall clock was stepped between their starts.
+        shift = 0 if state.clock_offset is None else own_offset - state.clock_offset
+        if state.unix_offset is not None:
+            self.boxes.start_times.follow_unix_offset(state.unix_offset, shared_now)
+        self.boxes.banned = {eps[name]: since + shift for name, since in state.banned.items()}
+        self.boxes.back = {eps[name]: at + shift for name, at in state.back.items()}
+        self.boxes.take_in(ListForm.WHOLE, state.members)
         learned_state.import_state(
-            self.boxes.module.balancer, self.boxes.kinds, estate.beliefs, self.timers.now()
+            self.boxes.module.balancer, self.boxes.kinds, state.beliefs, self.timers.now()
         )
-        self.watching.go_on_from(estate.revision)
-        self.tunnels.ids_before = frozenset(estate.ids)
+        self.watching.go_on_from(state.revision)
+        self.tunnels.ids_before = frozenset(state.ids)
         self.tunnels.begun = True
-        self.links.lent = estate.held
-        if estate.away:
+        self.links.lent = state.held
+        if state.away:
             self.service.leave_service()
 
-    def _adopt_connection(self, found: PredecessorReply) -> None:
-        """The connection stays, on the reactor from here on."""
-        link, _, rest = found
+    def _adopt_connection(self, reply: PredecessorReply) -> None:
+        """Hands the open connection over to the reactor."""
+        link, _, rest = reply
         link.setblocking(False)
         try:
             self.predecessor = PeerProcess(self)
             self.service.taking_over = True
             self.reactor.adoptStreamConnection(link.fileno(), socket.AF_UNIX, Once(self.predecessor))
         finally:
-            link.close()  # the reactor has its own
-        # After what is left: that is followed first.
+            link.close()  # the reactor uses a duplicate
+        # Further messages are handled after the state has been imported.
         self.timers.after(0, self.predecessor.dataReceived, rest)
 
     def _abandon(self) -> None:
@@ -348,48 +374,53 @@
         before.transport.abortConnection()
 
     def detach(self) -> None:
-        """This process ends, and takes nothing in for all that the other one's connection goes with it."""
+        """Forgets the other process as this one ends, so that the loss of the connection has no effect."""
         self.predecessor = self.successor = None
 
-    # -- what the other process says ---------------------------------------------------------------
+    # -- messages from the other process -----------------------------------------------------------
 
-    def message_received(self, peer: PeerProcess, told: dict[str, Any]) -> None:
-        if "version" in told:
-            self._takeover_requested(peer, told)
+    def message_received(self, peer: PeerProcess, message: dict[str, Any]) -> None:
+        """Handles one message; raises HandoverMessageError if it is unknown or out of place."""
+        if "version" in message:
+            self._takeover_requested(peer, message)
         elif peer not in (self.predecessor, self.successor):
-            raise HandoverMessageError("a stranger's message")
-        elif "taken" in told:
+            raise HandoverMessageError("a message before the hand-over was requested")
+        elif "taken" in message:
             self._takeover_confirmed(peer)
-        elif type(told.get("held")) is int:
-            self._set_lent(max(0, told["held"]))
-        elif "do" in told:
-            self._run_operation(told["do"], told.get("name", ""))
-            peer.send(done=told.get("call"))
-        elif type(told.get("done")) is int:
-            self._acknowledged(told["done"])
+        elif type(message.get("held")) is int:
+            self._set_lent(max(0, message["held"]))
+        elif "do" in message:
+            self._run_operation(message["do"], message.get("name", ""))
+            peer.send(done=message.get("call"))
+        elif type(message.get("done")) is int:
+            self._acknowledged(message["done"])
         else:
-            raise HandoverMessageError(f"unknown: {sorted(told)[:5]}")
+            raise HandoverMessageError(f"unknown message with the keys {sorted(message)[:5]}")
 
     def _set_lent(self, held: int) -> None:
-        # A listener that stopped for want of room hears of no connection of its own that has gone.
+        # A listener that is paused for lack of slots has to be told when the other process frees some.
         self.links.lent = held
         self.listener.came_free()
 
-    def _takeover_requested(self, peer: PeerProcess, told: dict[str, Any]) -> None:
-        if told["version"] != VERSION or told.get("name") != self.name:
-            logger.warning("handover: asked by {} in version {}", told.get("name"), told["version"])
+    def _takeover_requested(self, peer: PeerProcess, message: dict[str, Any]) -> None:
+        if message["version"] != VERSION or message.get("name") != self.name:
+            logger.warning(
+                "handover: refused a request by relay {} in version {}",
+                message.get("name"),
+                message["version"],
+            )
             peer.send(version=VERSION, no="another version or another relay")
             return
         if self.successor is not None:
-            logger.warning("handover: asked again, the last who asked is given up")
+            logger.warning("handover: asked again; dropping the process that asked before")
             self.successor.transport.abortConnection()
-        logger.info("handover: a new process asks; nothing more is taken in here")
+        logger.info("handover: a new process asks; this one accepts no more connections")
         self.successor = peer
         self.listener.hold_back()
-        # The other's word that it has taken over may lie unread where this process was paused.
+        # If this process was paused, the confirmation may have arrived and not been read yet.
         self._lease_timer = self.timers.after_reading(LEASE, self._lease_expired, peer)
         names, shared_now = self.boxes.eps.names, time.monotonic_ns()
-        estate = HandoverState(
+        state = HandoverState(
             shared_now + LEASE,
             self.watching.revision,
             list(self.boxes.listed.values()),
@@ -402,7 +433,7 @@
             self.timers.now() - shared_now,
             self.boxes.start_times.unix_offset(shared_now),
         )
-        peer.send(version=VERSION, estate=estate._asdict())
+        peer.send(version=VERSION, estate=state._asdict())
 
     def _descriptors_held(self) -> int:
         return len(os.listdir("/proc/self/fd")) + self.links.lent
@@ -413,10 +444,12 @@
 
     def _takeover_confirmed(self, peer: PeerProcess) -> None:
         if peer is not self.successor:
-            raise HandoverMessageError("it took over unasked")
+            raise HandoverMessageError("confirmation of a hand-over that was not requested")
         self.timers.cancel(self._lease_timer)
         self.service.replaced = True
-        logger.info("handover: the new process serves; {} tunnels are left here", self.tunnels.table.used)
+        logger.info(
+            "handover: the new process serves; {} tunnels are still open here", self.tunnels.table.used
+        )
         self._report_held(peer)
 
     def _report_held(self, peer: PeerProcess) -> None:
@@ -425,28 +458,32 @@
             self.timers.after(REPORT_HELD_EVERY, self._report_held, peer)
 
     def connection_lost(self, peer: PeerProcess) -> None:
+        """Goes on without the other process; accepts connections again if that was the new one."""
         for call, (asked, _, _) in list(self._unacknowledged.items()):
             if asked is peer:
                 self._acknowledged(call)
         if peer is self.predecessor:
-            logger.info("handover: the process before has ended")
+            logger.info("handover: the previous process has ended")
             self.predecessor = None
             self.service.taking_over = False
             self.tunnels.ids_before = frozenset()
             self._set_lent(0)
         elif peer is self.successor:
-            # It died, or never took over: whoever waits in the system's queue is this process's again.
+            # It died, or never took over: this process accepts what waits in the kernel's queue again.
             logger.warning("handover: the new process is gone; this one serves on")
             self.timers.cancel(self._lease_timer)
             self.successor = None
             self.service.replaced = False
             self.listener.go_on()
 
-    # -- what operators call -----------------------------------------------------------------------
+    # -- operators' calls --------------------------------------------------------------------------
+
+    def forward(self, operation: str, name: str, then: Callable[[], None]) -> None:
+        """Forwards an operator's call to the other process, and runs `then` once that has acknowledged it.
 
-    def forward(self, what: str, name: str, then: Callable[[], None]) -> None:
-        """Tells the other process, and then calls; a little later all the same where that one hangs, since
-        it can do no harm meanwhile."""
+        If the other process hangs, `then` runs after a time-out: a process that hangs can do no harm
+        meanwhile.
+        """
         peer = self.successor or self.predecessor
         if peer is None:
             then()
@@ -457,10 +494,10 @@
             self.timers.after_reading(ACKNOWLEDGE_WITHIN, self._acknowledgement_late, call),
             then,
         )
-        peer.send(do=what, name=name, call=call)
+        peer.send(do=operation, name=name, call=call)
 
     def _acknowledgement_late(self, call: int) -> None:
-        logger.warning("handover: the other process did not say that it heard a call")
+        logger.warning("handover: the other process did not acknowledge an operator's call")
         self._acknowledged(call)
 
     def _acknowledged(self, call: int) -> None:
@@ -469,12 +506,16 @@
             self.timers.cancel(due)
             then()
 
-    def _run_operation(self, what: Any, name: Any) -> None:
-        if not isinstance(what, str) or what not in self.service.operations or not isinstance(name, str):
-            raise HandoverMessageError(f"no call: {str(what)[:40]}")
+    def _run_operation(self, operation: Any, name: Any) -> None:
+        if (
+            not isinstance(operation, str)
+            or operation not in self.service.operations
+            or not isinstance(name, str)
+        ):
+            raise HandoverMessageError(f"unknown operation: {str(operation)[:40]}")
         try:
-            self.service.operations[what](*((name,) if name else ()))
+            self.service.operations[operation](*((name,) if name else ()))
         except UnknownBackendError:
-            logger.info("handover: {} {}: not known here", what, name)
+            logger.info("handover: {} {}: unknown backend", operation, name)
         except TypeError as why:
-            raise HandoverMessageError(f"no call: {what}") from why
+            raise HandoverMessageError(f"wrong arguments of operation {operation}") from why
--- a/cedarledge/net/learned_state.py
+++ b/cedarledge/net/learned_state.py
@@ -1,6 +1,7 @@
-"""What the decision module has learned, as plain figures for the next process of this relay, and back.
+"""Exports what the policy has learned as plain numbers, and imports it in the next process of this relay.
 
-No decision is made here: sums that fade are told as they are, with the names of what the host has numbered.
+Nothing is decided here. Decaying sums are passed on with their present values, and kinds of hosts by name,
+since each process numbers them for itself.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 from cedarledge.policy.estimators import DecayingRatio
 from cedarledge.settings import Indices
 
-Sums = list[float]
+Values = list[float]
 
 
 def export_state(balancer: Balancer, kinds: Indices, now: int) -> dict[str, Any]:
-    """Loads by profile, capacities by kind, and the rate at which backends may be filled."""
+    """Returns loads by profile, capacities by kind of host, and the rate at which backends may be filled."""
     state = balancer.state
     return {
-        "loads": [_sums(load, now) for load in state.loads],
+        "loads": [_present_values(load, now) for load in state.loads],
         "capacity": [
-            [kinds.names[kind], *_sums(capacity, now)]
+            [kinds.names[kind], *_present_values(capacity, now)]
             for kind, capacity in state.capacity.items()
             if kind >= 0
         ],
@@ -30,28 +31,31 @@
     }
 
 
-def import_state(balancer: Balancer, kinds: Indices, told: Mapping[str, Any], now: int) -> None:
-    """Raises KeyError, TypeError or ValueError for what is none of the above, and then changes nothing."""
+def import_state(balancer: Balancer, kinds: Indices, learned: Mapping[str, Any], now: int) -> None:
+    """Takes over what `export_state` returned in another process.
+
+    Raises KeyError, TypeError or ValueError for malformed input, and then changes nothing.
+    """
     state = balancer.state
-    loads = [_figures(pair, 2) for pair in told["loads"]]
-    capacity = [(kinds[name], _figures(pair, 2)) for name, *pair in told["capacity"]]
-    (rate,) = _figures([told["rate"]], 1)
+    loads = [_checked_values(pair, 2) for pair in learned["loads"]]
+    capacity = [(kinds[name], _checked_values(pair, 2)) for name, *pair in learned["capacity"]]
+    (rate,) = _checked_values([learned["rate"]], 1)
     if len(loads) != len(state.loads):
-        raise ValueError("other profiles")
+        raise ValueError("loads of other profiles")
     for load, pair in zip(state.loads, loads, strict=True):
         load.add(now, *pair)
-    # What it sees until it holds its share would have it unlearn this.
+    # Until this process holds its share of the connections, its own measurements would displace these values.
     state.fill_rate, state.unrepresentative_until = rate, state.settling_until
     for kind, pair in capacity:
         state.capacity[kind].add(now, *pair)
 
 
-def _sums(ratio: DecayingRatio, now: int) -> Sums:
+def _present_values(ratio: DecayingRatio, now: int) -> Values:
     return [ratio.amount.read(now), ratio.weight.read(now)]
 
 
-def _figures(told: Any, count: int) -> Sums:
-    figures = [float(figure) for figure in told]
-    if len(figures) != count or not all(isfinite(figure) and figure >= 0 for figure in figures):
-        raise ValueError(f"not figures: {told!r}")
-    return figures
+def _checked_values(data: Any, count: int) -> Values:
+    values = [float(value) for value in data]
+    if len(values) != count or not all(isfinite(value) and value >= 0 for value in values):
+        raise ValueError(f"not finite numbers of 0 or more: {data!r}")
+    return values
--- a/cedarledge/net/logs.py
+++ b/cedarledge/net/logs.py
@@ -1,4 +1,4 @@
-"""Where log lines go: standard error, as text or JSON, never waited for."""
+"""Log output to standard error, as text or JSON, that never blocks the process."""
 
 from __future__ import annotations
 
@@ -15,27 +15,31 @@
 from twisted.logger import LogLevel, formatEvent, globalLogBeginner
 
 TEXT = "{time:HH:mm:ss.SSS} {level} {message}"
-# A pipe that can be written to takes this much without making the writer wait.
+# A pipe that polls as writable takes this many bytes without blocking the writer.
 MAX_WRITE_BYTES = 4096
 MAX_BUFFERED_BYTES = 256 << 10
 
 
 class NonBlockingSink:
-    """A log sink on a file descriptor. Lines that its reader is not ready for wait within a bound; past it
-    they are dropped, and how many is said once there is room: a reader that stops must cost lines, never a
-    placement."""
+    """A loguru sink that writes to a file descriptor without blocking.
+
+    Lines that the reader is not ready for are buffered up to a limit. Beyond it lines are dropped, and their
+    number is logged once there is room. A reader that stops costs log lines, but never delays a connection.
+    """
 
     def __init__(self, fd: int, max_bytes: int = MAX_BUFFERED_BYTES) -> None:
+        """Writes to `fd`, a pipe, terminal or file; buffers up to `max_bytes`."""
         self._fd = fd
         self.max_bytes = max_bytes
         self._waiting: deque[bytes] = deque()
         self._size = 0
         self.dropped = 0
-        self._dropped_before = 0  # of them, those already told of
+        self._dropped_before = 0  # the part of them that the log already mentions
         self._poll = select.poll()
         self._poll.register(fd, select.POLLOUT)
 
     def __call__(self, message: str) -> None:
+        """Buffers one log line, or drops it if the buffer is full, and writes what can be written."""
         line = message.encode("utf-8", "replace")
         if self._size + len(line) > self.max_bytes:
             self.dropped += 1
@@ -45,13 +49,14 @@
         self.flush()
 
     def flush(self) -> None:
+        """Writes buffered lines for as long as the reader takes them."""
         while self._waiting and self._ready():
             line = self._waiting.popleft()
             self._size -= len(line)
             try:
                 written = os.write(self._fd, line[:MAX_WRITE_BYTES])
             except OSError:
-                # Its reader has gone for good; who stays is owed service, with or without a log.
+                # The reader is gone for good. The relay goes on serving without a log.
                 self.dropped += 1
                 continue
             if written < len(line):
@@ -68,19 +73,21 @@
 
 
 def as_json(record: dict[str, Any]) -> str:
-    """A loguru format that gives one JSON object a line. The object is put into the record's own fields,
-    since what a format function returns is formatted once more."""
-    told = {"time": record["time"].isoformat(), "level": record["level"].name} | record["extra"]
-    told.pop("as_json", None)
-    told["message"] = record["message"]
+    """Loguru format function for one JSON object a line.
+
+    The object is stored in the record's own fields, since loguru formats the returned string once more.
+    """
+    entry = {"time": record["time"].isoformat(), "level": record["level"].name} | record["extra"]
+    entry.pop("as_json", None)
+    entry["message"] = record["message"]
     if record["exception"] is not None:
-        told["exception"] = "".join(traceback.format_exception(*record["exception"]))
-    record["extra"]["as_json"] = json.dumps(told, default=str)
+        entry["exception"] = "".join(traceback.format_exception(*record["exception"]))
+    record["extra"]["as_json"] = json.dumps(entry, default=str)
     return "{extra[as_json]}\n"
 
 
 def _from_twisted(event: dict[str, Any]) -> None:
-    """Twisted's own warnings and faults go where all else is logged."""
+    """Passes Twisted's own warnings and errors on to the log."""
     if event["log_level"] >= LogLevel.warn:
         failure = event.get("log_failure")
         logger.opt(exception=failure and failure.value).error("{}", formatEvent(event))
@@ -88,13 +95,13 @@
 
 @cache
 def _stderr() -> NonBlockingSink:
-    """One for the process: what waits in it, and what it has dropped, outlive a change of how lines look."""
+    """Returns the one sink of the process: its buffer and drop count survive a change of the log format."""
     return NonBlockingSink(sys.stderr.fileno())
 
 
-def log_to_stderr(level: str, form: str = "text", waiting: int = MAX_BUFFERED_BYTES) -> None:
-    """Sends all log lines there; called again it replaces how. LOGURU_LEVEL goes before the level given."""
-    _stderr().max_bytes = waiting
+def log_to_stderr(level: str, form: str = "text", max_bytes: int = MAX_BUFFERED_BYTES) -> None:
+    """Logs to standard error at `level` or, if set, LOGURU_LEVEL. A later call replaces the settings."""
+    _stderr().max_bytes = max_bytes
     logger.remove()
     logger.add(
         _stderr(),
@@ -105,5 +112,5 @@
 
 
 def redirect_twisted_log() -> None:
-    """Once a process: Twisted's log is taken over."""
+    """Sends Twisted's log events to the log. To be called once a process."""
     globalLogBeginner.beginLoggingTo([_from_twisted], redirectStandardIO=False, discardBuffer=True)
--- a/cedarledge/net/observers.py
+++ b/cedarledge/net/observers.py
@@ -1,4 +1,4 @@
-"""Tells observers what happens, and keeps what they do from the relay: faults are caught, time is counted."""
+"""Dispatches events to observers; catches their exceptions and limits the time that they use."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from cedarledge.net.timers import Timers
 from cedarledge.terms import SECOND
 
-# So many faults within a span and a observer is left out.
+# An observer that raises this many exceptions within one second is excluded for a while.
 MAX_FAULTS = 5
 
 
 class _Registration:
-    """One observer and what it has cost in this span."""
+    """One observer, with its exceptions and its time (ns) in the current second."""
 
     __slots__ = ("excluded", "faults", "missed", "observer", "spent")
 
@@ -28,9 +28,12 @@
 
 
 class Observers:
-    """All observers of a relay. One that faults too often, or takes more than its share of a second, is left
-    out for a while, with a line that says so and how much it missed: a call can't be broken off in its
-    middle, but the next ones need not be made."""
+    """All observers of a relay.
+
+    An observer that fails too often, or uses more than its share of a second, is excluded for a while. The
+    log says so, and how many events it missed. A running call can't be interrupted, but later calls can be
+    skipped.
+    """
 
     def __init__(
         self,
@@ -40,22 +43,24 @@
         exclusion: int = 30 * SECOND,
         stopwatch: Callable[[], int] = perf_counter_ns,
     ) -> None:
+        """Limits each observer to `most_share` of every second; `exclusion` and both clocks are in ns."""
         self._clock = clock
         self._timers = timers
         self._stopwatch = stopwatch
         self.time_limit = int(most_share * SECOND)
         self.exclusion = exclusion
         self._registrations: list[_Registration] = []
-        # Who has something to do for each thing that happens: the rest is not even called.
+        # For each event only the observers that override its method; the others are never called.
         self._calls: dict[str, list[tuple[_Registration, Callable[..., None]]]] = {name: [] for name in HEARD}
-        self._span_ends = 0
+        self._window_ends = 0
 
     def add(self, observer: Hearer) -> None:
+        """Registers an observer; it gets every event from now on."""
         self._registrations.append(_Registration(observer))
         self._bind_methods()
 
     def clear(self) -> None:
-        """Nobody listens any more; who is added next starts afresh."""
+        """Removes all observers, with their counts and exclusions."""
         self._registrations.clear()
         self._bind_methods()
 
@@ -68,12 +73,13 @@
             ]
 
     def notify(self, name: str, *args: Any) -> None:
+        """Calls the method `name` of every observer that overrides it, with the time and `args`."""
         calls = self._calls[name]
         if not calls:
             return
         now = self._clock()
-        if now >= self._span_ends:
-            self._span_ends = now + SECOND
+        if now >= self._window_ends:
+            self._window_ends = now + SECOND
             for registration in self._registrations:
                 registration.spent = registration.faults = 0
         for registration, call in tuple(calls):
@@ -86,7 +92,9 @@
             except Exception:
                 registration.faults += 1
                 if registration.faults == 1:
-                    logger.exception("{} failed on {}", type(registration.observer).__name__, name)
+                    logger.exception(
+                        "observer {} failed on event {}", type(registration.observer).__name__, name
+                    )
             registration.spent += self._stopwatch() - began
             if registration.spent > self.time_limit or registration.faults >= MAX_FAULTS:
                 self._exclude(registration)
@@ -94,7 +102,7 @@
     def _exclude(self, registration: _Registration) -> None:
         registration.excluded, registration.missed = True, 0
         logger.error(
-            "{} is left out for {} s: {} faults and {} ms within a second",
+            "observer {} is excluded for {} s: {} exceptions and {} ms within one second",
             type(registration.observer).__name__,
             self.exclusion // SECOND,
             registration.faults,
@@ -106,5 +114,7 @@
         registration.excluded, registration.spent, registration.faults = False, 0, 0
         if registration in self._registrations:
             logger.warning(
-                "{} listens again; it missed {}", type(registration.observer).__name__, registration.missed
+                "observer {} is active again; it missed {} events",
+                type(registration.observer).__name__,
+                registration.missed,
             )
--- a/cedarledge/net/service.py
+++ b/cedarledge/net/service.py
@@ -1,4 +1,4 @@
-"""What operators have said of this relay: in or out of service, which backends are out, when it is ready."""
+"""Service state of the relay: in or out of service, backends taken offline by operators, readiness."""
 
 from __future__ import annotations
 
@@ -12,17 +12,21 @@
 from cedarledge.net.tunnels import Tunnels
 from cedarledge.terms import MS
 
-# Within 4 s of the call nobody may be held who was not moved. One that came late may still wait for a setup:
-# it is answered then. Most of the time is used, as the other relays place who is moved one after the other.
-EMPTY_WITHIN, ANSWER_ALL_AFTER = 3300 * MS, 3700 * MS
+# No connection may be left 4 s after the call that takes the relay out of service. Open connections are moved
+# over most of that time, so that the other relays place them one after the other. A request that arrived late
+# may still wait for a backend when the moves are done; END_ALL_AFTER answers it.
+MOVE_ALL_WITHIN, END_ALL_AFTER = 3300 * MS, 3700 * MS
 
 
 class UnknownBackendError(Exception):
-    """No list has named such a backend."""
+    """Raised for a backend name that no list of backends has contained."""
 
 
 class ServiceState:
-    """Each call may come twice, and then changes nothing."""
+    """The operators' view of this process, and the operations that change it.
+
+    Every operation is idempotent: a repeated call changes nothing.
+    """
 
     def __init__(
         self,
@@ -33,17 +37,19 @@
         backends: Backends,
         front: Front,
     ) -> None:
+        """Starts in service and not yet listening; the relay sets the flags as it starts and stops."""
         self.timers = timers
         self.module = module
         self.boxes = boxes
         self.tunnels = tunnels
         self.backends = backends
         self.front = front
-        self.listening = False  # the clients' listener
-        self.stopping = self.replaced = False  # this process, by a newer one
-        self.taking_over = False  # while the process before is still there
-        self._sweep: Timer | None = None
-        # By the names that they have between two processes.
+        self.listening = False  # the clients' listener is open
+        # Told to end; and a newer process of this relay accepts the connections.
+        self.stopping = self.replaced = False
+        self.taking_over = False  # the previous process of this relay is still running
+        self._end_all_timer: Timer | None = None
+        # The keys are the operations' names in the control calls and in messages between two processes.
         self.operations = {
             "out-of-service": self.leave_service,
             "in-service": self.return_to_service,
@@ -52,7 +58,7 @@
         }
 
     def why_not_ready(self) -> str:
-        """Empty where this process can serve."""
+        """Returns the reason why this process is not ready, or an empty string if it is."""
         if self.stopping:
             return "this process ends"
         if self.replaced:
@@ -60,40 +66,46 @@
         if not self.listening:
             return "the listener is not open yet"
         if self.front.away and not self.taking_over:
-            # A process that took over from one out of service is what that one's end waits for.
+            # While a process takes over it reports ready even out of service: the previous process is
+            # stopped only once the new one is ready.
             return "out of service"
         if not self.boxes.heard and not self.boxes.ready:
             return "no list of backends yet"
         return ""
 
     def leave_service(self) -> None:
+        """Tells the platform to send no more clients here and moves all open connections to other relays."""
         if self.front.away:
             return
         self.front.away = True
-        logger.info("out of service: {} tunnels are sent away", self.tunnels.table.used)
+        logger.info("out of service: moving {} tunnels to other relays", self.tunnels.table.used)
         if not self.stopping:
-            self.module.tell(self.module.balancer.stopping, EMPTY_WITHIN)
-            self._sweep = self.timers.after_reading(ANSWER_ALL_AFTER, self.tunnels.end_all)
+            self.module.tell(self.module.balancer.stopping, MOVE_ALL_WITHIN)
+            self._end_all_timer = self.timers.after_reading(END_ALL_AFTER, self.tunnels.end_all)
 
     def return_to_service(self) -> None:
+        """Takes clients in again and keeps the connections that have not been moved yet."""
         if not self.front.away:
             return
         self.front.away = False
-        logger.info("in service again with {} tunnels", self.tunnels.table.used)
+        logger.info("in service again; {} tunnels are still open", self.tunnels.table.used)
         if not self.stopping:
-            self.timers.cancel(self._sweep)
+            self.timers.cancel(self._end_all_timer)
             self.module.tell(self.module.balancer.staying)
 
     def take_backend_offline(self, name: str) -> None:
-        ep = self._known(name)
-        # The list's word first: whoever waits for a look at it is then placed elsewhere.
+        """Sends nothing new to a backend until it is brought online; raises UnknownBackendError."""
+        ep = self._backend_id_of(name)
+        # The list changes first, so that a request that waits for a probe of this backend goes to another
+        # one.
         self.boxes.ban(ep, self.timers.now())
         self.backends.no_probes(ep)
 
     def bring_backend_online(self, name: str) -> None:
-        self.boxes.put_back(self._known(name), self.timers.now())
+        """Lets a backend that was taken offline be chosen again; raises UnknownBackendError."""
+        self.boxes.put_back(self._backend_id_of(name), self.timers.now())
 
-    def _known(self, name: str) -> int:
+    def _backend_id_of(self, name: str) -> int:
         ep = self.boxes.known(name)
         if ep is None:
             raise UnknownBackendError(name)
--- a/cedarledge/net/signals.py
+++ b/cedarledge/net/signals.py
@@ -1,5 +1,8 @@
-"""When the platform's signals are heard. Each that comes before or after waits in the system, which keeps one
-of a kind: heard by nobody it would end the process, in mid-start or as it exits, with all that it holds."""
+"""Handling of SIGTERM and SIGHUP, which stay blocked while the process starts and exits.
+
+A blocked signal stays pending in the kernel, one of each kind. Unblocked and without a handler it would kill
+the process in the middle of its start or exit, with all connections.
+"""
 
 from __future__ import annotations
 
@@ -10,28 +13,31 @@
 
 
 def block() -> None:
-    """From the program's first line on, and again from its last."""
+    """Blocks both signals; called first thing at the start, and again when the reactor has stopped."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
 
 
 def termination_pending() -> bool:
-    """Whether SIGTERM waits to be heard."""
+    """Returns whether a blocked SIGTERM is pending."""
     return signal.SIGTERM in signal.sigpending()
 
 
 def install_handlers(
     calls: Mapping[signal.Signals, Callable[[], None]], schedule: Callable[[Callable[[], None]], None]
 ) -> None:
-    """Has each call made for its signal, what has come before included. A handler may run anywhere, also
-    within itself, so it only leaves word, and nothing more is heard until that is read: handlers within
-    handlers were the end of a process that was told to end over and over."""
+    """Installs a handler that makes the given call for each signal, and unblocks the signals.
+
+    Signals that are already pending are handled too. A handler may interrupt any code, even itself. So it
+    only passes the call to `schedule`, and both signals stay blocked until that call has run: nested handlers
+    once crashed a process that got SIGTERM over and over.
+    """
     for number, call in calls.items():
 
-        def handler(*_: object, call: Callable[[], None] = call) -> None:
+        def handle(*_: object, call: Callable[[], None] = call) -> None:
             block()
             schedule(lambda: _run_and_unblock(call))
 
-        signal.signal(number, handler)
+        signal.signal(number, handle)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED)
 
 
--- a/cedarledge/operator/__init__.py
+++ b/cedarledge/operator/__init__.py
@@ -1,1 +1,1 @@
-"""What operators write: the file of settings, checked into values."""
+"""The operators' configuration file, parsed and checked."""
--- a/cedarledge/operator/file.py
+++ b/cedarledge/operator/file.py
@@ -1,4 +1,4 @@
-"""The operator file: what those who run a relay may set, beside what the platform tells it."""
+"""The operator file: settings by those who run a relay, beside the configuration by the platform."""
 
 from __future__ import annotations
 
@@ -10,63 +10,70 @@
 
 from cedarledge.operator.tables import read_file
 
-# Tables that are read at the start alone, each with a switch of its own, which ships off.
+# Tables that take effect only at the start. Each has a switch `on`, which is off by default.
 RESTART_ONLY = ("peers",)
 BoxName = Annotated[str, Meta(min_length=1, max_length=256)]
 
 
 class LogTable(msgspec.Struct, frozen=True):
-    """What is logged, and how."""
+    """Settings of the log."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
     form: Literal["text", "json"] = "text"
-    # A line for each thing of these sorts that happens to a tunnel or a box.
+    # Categories of tunnel and backend events that are logged, one line each.
     events: tuple[
         Literal["arrived", "setup", "opened", "answered", "moved", "ended", "list", "probe"], ...
     ] = ()
-    # So much may wait for a reader that has stopped reading; past it lines are dropped and counted.
+    # Size of the buffer for a reader that has stopped reading; beyond it lines are dropped and counted.
     waiting_kb: Annotated[int, Meta(ge=4, le=16384)] = 256
 
     def __post_init__(self) -> None:
+        """Refuses events that the log level would hide."""
         if self.events and self.level in ("warning", "error"):
             raise ValueError(f"events: they are logged at 'info', which level = {self.level!r} hides")
 
 
 class BoxesTable(msgspec.Struct, frozen=True):
-    """Boxes that operators treat in a way of their own."""
+    """Backends that operators treat differently."""
 
-    # Nothing new goes there; who is there stays. A list that names every ready box is not followed.
+    # Names of backends that get no new connections; open ones stay. Ignored if it names every ready backend.
     aside: Annotated[tuple[BoxName, ...], Meta(max_length=1000)] = ()
 
     def __post_init__(self) -> None:
+        """Refuses a backend name that occurs twice."""
         for name in self.aside:
             if self.aside.count(name) > 1:
                 raise ValueError(f"aside: {name!r} is there twice")
 
 
-class HearersTable(msgspec.Struct, frozen=True):
-    """What those that listen to what happens may cost."""
+class ObserversTable(msgspec.Struct, frozen=True):
+    """Limits for observers of events. The outer name of this table is `hearers`."""
 
-    # Of a second; one that takes more is left out for a while.
+    # Share of each second that an observer may use; one that uses more is excluded for `left_out_s`.
     most_share: Annotated[float, Meta(ge=0.001, le=0.5)] = 0.05
     left_out_s: Annotated[float, Meta(ge=1, le=3600)] = 30.0
 
 
 class PeersTable(msgspec.Struct, frozen=True):
-    """Relays that know each other. Takes effect at the start alone."""
+    """Membership among the relays of a fleet. Takes effect only at the start."""
 
     on: bool = False
-    fleet: Annotated[str, Meta(max_length=64, pattern="^[ -~]*$")] = ""  # who has another one is no peer
-    listen: Annotated[str, Meta(max_length=21)] = ""  # UDP; loopback or private, as there is no sign-in
-    told: Annotated[str, Meta(max_length=21)] = ""  # where others find it, if not at `listen`
+    fleet: Annotated[str, Meta(max_length=64, pattern="^[ -~]*$")] = (
+        ""  # relays with another value are ignored
+    )
+    listen: Annotated[str, Meta(max_length=21)] = (
+        ""  # UDP; a loopback or private address, as peers are not authenticated
+    )
+    told: Annotated[str, Meta(max_length=21)] = ""  # address for the others, if not `listen`
     seeds: Annotated[tuple[Annotated[str, Meta(max_length=21)], ...], Meta(max_length=64)] = ()
     region: Annotated[str, Meta(max_length=64, pattern="^[ -~]*$")] = ""
     probe_every_ms: Annotated[int, Meta(ge=100, le=10_000)] = 500
 
     def __post_init__(self) -> None:
+        """Refuses settings that are switched on and incomplete, and addresses that are not private."""
         if not self.on:
             return
-        # Only here: a relay without peers needs nothing of theirs.
+        # Imported only here: a relay without peers doesn't need the peers package.
         from cedarledge.peers.messages import near
 
         if not self.fleet:
@@ -83,22 +90,22 @@
 
 
 class OperatorFile(msgspec.Struct, frozen=True):
-    """All tables. Each has defaults, and an empty file is a good one."""
+    """All tables of the file. Each has defaults, so an empty file is valid."""
 
     log: LogTable = LogTable()
     boxes: BoxesTable = BoxesTable()
-    hearers: HearersTable = HearersTable()
+    hearers: ObserversTable = ObserversTable()
     peers: PeersTable = PeersTable()
 
     def enabled_tables(self) -> list[str]:
-        """What ships switched off and is on here."""
+        """Returns the names of the tables that are off by default and on in this file."""
         return [name for name in RESTART_ONLY if getattr(self, name).on]
 
     def changed_restart_only(self, other: OperatorFile) -> list[str]:
-        """Tables that differ though they take effect at the start alone."""
+        """Returns the names of the tables that differ in `other` and take effect only at the start."""
         return [name for name in RESTART_ONLY if getattr(self, name) != getattr(other, name)]
 
 
 def read_operator_file(path: str | Path) -> OperatorFile:
-    """Raises BadFileError (tables.py), with a line for each problem."""
+    """Reads and checks an operator file. Raises BadFileError (tables.py) with a line for each problem."""
     return read_file(path, OperatorFile)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Lets a run pass over the tests that KNOWN-RED.txt names: real faults that are known and not mended yet."""
+"""Expects the tests that KNOWN-RED.txt lists to fail: they show real faults that are not fixed yet."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def known_red() -> dict[str, str]:
-    """Each named test (file::function) with what was seen and its issue."""
+    """Returns the listed tests (file::function), each with what was seen and its issue."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line.strip() for line in KNOWN_RED.read_text().splitlines()]
@@ -21,9 +21,9 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """A named test has to fail: once it passes, its line has to go."""
-    named = known_red()
+    """Marks the listed tests as strict: once one passes, the run fails until its line is removed."""
+    listed = known_red()
     for item in items:
-        reason = named.get(item.nodeid)
+        reason = listed.get(item.nodeid)
         if reason:
             item.add_marker(pytest.mark.xfail(reason=f"known red: {reason}", strict=True))
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -1,4 +1,4 @@
-"""Configurations that can't be read for a moment, at the start and on SIGHUP."""
+"""Configuration files that can't be read for a short time, at the start and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from cedarledge.net import config
 from cedarledge.net.config import BadConfigError, TransientConfigError, read_config
 
-TOLD = {
+CONFIG = {
     "name": "n0",
     "listen": "127.0.0.1:9000",
     "discovery": "127.0.0.1:9001",
@@ -25,39 +25,39 @@
 
 
 class FailingReads:
-    """In place of the reading of a file: fails so often, then reads."""
+    """Replaces the reading of a file: fails `failures` times with an errno, then reads the file."""
 
-    def __init__(self, failures: int, number: int) -> None:
-        self.failures, self.number = failures, number
+    def __init__(self, failures: int, error: int) -> None:
+        self.failures, self.error = failures, error
 
     def __call__(self, path: Path) -> bytes:
         if self.failures:
             self.failures -= 1
-            raise OSError(self.number, os.strerror(self.number))
+            raise OSError(self.error, os.strerror(self.error))
         return path.read_bytes()
 
 
-@mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EINTR, errno.EIO])
-def test_a_start_waits_for_a_file_that_can_not_be_read_for_a_moment(
-    number: int, tmp_path: Path, monkeypatch: MonkeyPatch
+@mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EINTR, errno.EIO])
+def test_the_start_waits_for_a_file_that_can_not_be_read_at_first(
+    error: int, tmp_path: Path, monkeypatch: MonkeyPatch
 ) -> None:
-    path = tmp_path / "told.json"
-    path.write_text(json.dumps(TOLD))
-    monkeypatch.setattr(config, "_read_file", FailingReads(3, number))
-    assert read_config({"BALANCER_CONFIG": str(path)}, tries=4).name == "n0"
-    monkeypatch.setattr(config, "_read_file", FailingReads(3, number))
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(CONFIG))
+    monkeypatch.setattr(config, "_read_file", FailingReads(3, error))
+    assert read_config({"BALANCER_CONFIG": str(path)}, attempts=4).name == "n0"
+    monkeypatch.setattr(config, "_read_file", FailingReads(3, error))
     with raises(TransientConfigError):
         read_config({"BALANCER_CONFIG": str(path)})
 
 
-def test_a_file_that_is_not_there_is_refused_at_once(tmp_path: Path, monkeypatch: MonkeyPatch) -> None:
-    with raises(BadConfigError) as refused:
-        read_config({"BALANCER_CONFIG": str(tmp_path / "none")}, tries=4)
-    assert not isinstance(refused.value, TransientConfigError)
+def test_a_missing_file_is_refused_at_once(tmp_path: Path, monkeypatch: MonkeyPatch) -> None:
+    with raises(BadConfigError) as raised:
+        read_config({"BALANCER_CONFIG": str(tmp_path / "none")}, attempts=4)
+    assert not isinstance(raised.value, TransientConfigError)
 
 
-def test_a_new_configuration_is_followed_once_its_file_can_be_read(tmp_path: Path) -> None:
-    """The limit on descriptors, lowered to those that are open, has each opening of a file fail."""
+def test_a_new_configuration_takes_effect_once_its_file_can_be_read(tmp_path: Path) -> None:
+    """The limit on descriptors is lowered to those that are open, so that no file can be opened."""
     import resource
 
     with Program(tmp_path, [Backend("a")]) as relay:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The operators' front, on the program over sockets and on its reader alone."""
+"""The operators' HTTP calls: on a running relay over sockets, and on the parser alone."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Caller:
-    """One connection to the operators' front."""
+    """One connection to the operators' HTTP interface."""
 
     def __init__(self, address: str) -> None:
         host, port = address.split(":")
@@ -61,18 +61,20 @@
 @given(
     lengths=st.lists(st.integers(1, 30), max_size=40),
     body=st.binary(max_size=200),
-    behind=st.binary(max_size=40),
+    trailing=st.binary(max_size=40),
 )
 @settings(derandomize=True, deadline=None, max_examples=150)
-def test_a_call_is_the_same_however_it_is_cut(lengths: list[int], body: bytes, behind: bytes) -> None:
+def test_a_call_is_parsed_the_same_however_it_is_split(
+    lengths: list[int], body: bytes, trailing: bytes
+) -> None:
     data = b"POST /control/x?y HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n" % len(body) + body
-    reader, got, at = CallReader(), None, 0
+    reader, result, fed = CallReader(), None, 0
     edges = [0, *[edge for edge in (sum(lengths[: n + 1]) for n in range(len(lengths))) if edge < len(data)]]
     for start, end in pairwise([*edges, len(data)]):
-        assert got is None, "whole before its last byte"
-        got = reader.feed(data[start:end] + (behind if end == len(data) else b""))
-        at = end
-    assert at == len(data) and got == Call("POST", "/control/x")
+        assert result is None, "complete before its last byte"
+        result = reader.feed(data[start:end] + (trailing if end == len(data) else b""))
+        fed = end
+    assert fed == len(data) and result == Call("POST", "/control/x")
 
 
 @mark.parametrize(
@@ -91,13 +93,13 @@
         (b"GET / HTTP/1.1\r\n" + b"A: b\r\n" * (MAX_HEAD_BYTES // 6), 431),
     ],
 )
-def test_what_is_no_call_is_told_so(data: bytes, status: int) -> None:
+def test_a_malformed_call_is_refused_with_its_status(data: bytes, status: int) -> None:
     with raises(CallError) as raised:
         CallReader().feed(data)
     assert raised.value.answer.status == status
 
 
-def test_each_call_and_each_bad_call_has_its_answer(tmp_path: Path) -> None:
+def test_valid_and_invalid_calls_get_their_answers(tmp_path: Path) -> None:
     with running(tmp_path, Backend("a")) as (relay, address):
         assert call(address, "GET", "/control/ready") == 200
         assert [call(address, "GET", path) for path in ("/", "/control", "/control/ready/x")] == [404] * 3
@@ -106,7 +108,7 @@
         status, fields, _ = Caller(address).send(b"GET /control/in-service HTTP/1.1\r\n\r\n").answer()
         assert (status, fields["Allow"]) == (405, "POST")
         assert Caller(address).send(b"PING\r\n\r\n").answer()[0] == 400
-        # In pieces; with a body, and more behind it; a caller that leaves at once.
+        # A call in single bytes; one with a body and more bytes after it; one that breaks off.
         slow = Caller(address)
         for byte in b"GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n":
             slow.send(bytes((byte,)))
@@ -117,9 +119,9 @@
         assert call(address, "GET", "/control/ready") == 200 and relay.answers()
 
 
-def test_callers_that_hold_their_connection_delay_nobody(tmp_path: Path) -> None:
+def test_idle_connections_do_not_delay_calls(tmp_path: Path) -> None:
     with running(tmp_path, Backend("a")) as (relay, address):
-        # Clients hold all that clients can have, too.
+        # Clients hold all slots for clients, too.
         strangers = []
         with suppress(OSError):
             for _ in range(600):
@@ -128,14 +130,14 @@
         for _ in range(10):
             start = time.monotonic()
             assert call(address, "GET", "/control/ready") == 200 and time.monotonic() - start < 1
-        # Who stays for its whole time is told that it is over, and let go within 4 s.
+        # A connection that is not evicted gets a 408 when its time is up, and is closed within 4 s.
         start = time.monotonic()
         assert holders[-1].answer()[0] == 408 and time.monotonic() - start < 4
 
 
-def test_without_control_nothing_listens_and_a_bad_one_is_one_line(tmp_path: Path) -> None:
+def test_no_listener_without_control_and_one_error_line_for_a_bad_address(tmp_path: Path) -> None:
     for bad in ("nowhere", "127.0.0.1:99999", 7, ""):
-        told = {
+        config = {
             "name": "n",
             "listen": "127.0.0.1:1",
             "discovery": "127.0.0.1:1",
@@ -146,8 +148,8 @@
             "settings": {"profiles": []},
         }
         path = tmp_path / "bad.json"
-        path.write_text(json.dumps(told))
-        ended = subprocess.run(
+        path.write_text(json.dumps(config))
+        completed = subprocess.run(
             [sys.executable, "-m", "cedarledge"],
             capture_output=True,
             text=True,
@@ -155,7 +157,11 @@
             env=os.environ | {"BALANCER_CONFIG": str(path)},
             check=False,
         )
-        assert ended.returncode == 2 and ended.stderr.count("\n") == 1 and "control: " in ended.stderr
+        assert (
+            completed.returncode == 2
+            and completed.stderr.count("\n") == 1
+            and "control: " in completed.stderr
+        )
     with Program(tmp_path, [Backend("a")]) as relay:
         assert len(listeners(relay.process.pid)) == 1
     with running(tmp_path, Backend("a")) as (relay, _):
@@ -163,7 +169,7 @@
 
 
 def listeners(pid: int) -> set[str]:
-    """The sockets that a process listens on."""
+    """Returns the inodes of the TCP sockets on which a process listens."""
     held = set()
     for entry in Path(f"/proc/{pid}/fd").iterdir():
         with suppress(FileNotFoundError):  # closed meanwhile
@@ -172,7 +178,7 @@
     return {row[9] for row in rows if row[3] == "0A" and f"socket:[{row[9]}]" in held}
 
 
-def test_out_of_service_moves_everybody_and_comes_back(tmp_path: Path) -> None:
+def test_out_of_service_moves_all_clients_and_in_service_takes_clients_again(tmp_path: Path) -> None:
     backend = Backend("a")
     with running(tmp_path, backend) as (relay, address):
         clients = [relay.client() for _ in range(10)]
@@ -180,21 +186,21 @@
         idle, start = relay.client(), time.monotonic()
         assert [call(address, "POST", "/control/out-of-service") for _ in range(2)] == [200, 200]
         assert relay.client().say("PING") == "ERR" and call(address, "GET", "/control/ready") == 503
-        # One that was on its way still gets a final answer, and is moved with the others.
+        # A request that was on its way still gets a final answer, and is moved with the others.
         late = relay.client()
         assert late.open("late") == "UP r"
-        heard = [client.hear() for client in (*clients, late)]
-        assert heard == ["MOVE"] * 11 and 0.5 < time.monotonic() - start < 3.8
+        answers = [client.hear() for client in (*clients, late)]
+        assert answers == ["MOVE"] * 11 and 0.5 < time.monotonic() - start < 3.8
         assert idle.hear() == "" and time.monotonic() - start < 4
-        # Who comes all the same after its time is sent away at once, and no backend hears of it.
+        # A request after that time is rejected at once, and no backend gets it.
         time.sleep(max(0, start + 3.5 - time.monotonic()))
-        seen = len(backend.heads)
-        assert relay.client().open("later") == "BUSY" and len(backend.heads) == seen
+        heads = len(backend.heads)
+        assert relay.client().open("later") == "BUSY" and len(backend.heads) == heads
         assert [call(address, "POST", "/control/in-service") for _ in range(2)] == [200, 200]
         assert relay.answers() and relay.client().open("again") == "UP r"
 
 
-def test_back_in_service_in_the_middle_of_the_emptying_keeps_who_is_left(tmp_path: Path) -> None:
+def test_in_service_during_the_moves_keeps_the_remaining_connections(tmp_path: Path) -> None:
     with running(tmp_path, Backend("a")) as (relay, address):
         clients = [relay.client() for _ in range(20)]
         assert all(client.open(str(number)) == "UP r" for number, client in enumerate(clients))
@@ -202,14 +208,14 @@
         time.sleep(0.7)
         assert call(address, "POST", "/control/in-service") == 200 and relay.answers()
         time.sleep(4)
-        there = 0
+        kept = 0
         for client in clients:
             with suppress(OSError):
-                there += client.say("M 1") == "M 1"
-        assert 0 < there < 20
+                kept += client.say("M 1") == "M 1"
+        assert 0 < kept < 20
 
 
-def test_what_waits_for_a_hung_backend_has_its_answer_before_the_emptying_ends(tmp_path: Path) -> None:
+def test_requests_at_a_hung_backend_are_answered_before_the_relay_is_out_of_service(tmp_path: Path) -> None:
     backend = Backend("a", "hang")
     with running(tmp_path, backend) as (relay, address):
         client, start = relay.client(), time.monotonic()
@@ -219,12 +225,12 @@
         assert client.hear() == "ERR" and time.monotonic() - start < 4
 
 
-def test_a_restart_while_out_of_service_ends_and_nobody_is_let_back_in(tmp_path: Path) -> None:
+def test_a_relay_out_of_service_stops_on_sigterm_and_refuses_in_service(tmp_path: Path) -> None:
     with running(tmp_path, Backend("a")) as (relay, address):
         assert call(address, "POST", "/control/out-of-service") == 200
         relay.reload()
         until(lambda: b"configuration read again" in relay.log.read_bytes())
-        assert relay.client().say("PING") == "ERR", "a new configuration changes nothing of it"
+        assert relay.client().say("PING") == "ERR", "reading the configuration again leaves the service state"
         relay.ask_to_stop()
         until(lambda: b"stops within" in relay.log.read_bytes())
         assert call(address, "POST", "/control/in-service") == 409
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Narrow moments: of two things the second falls between two steps of the first (docs/crossings.md)."""
+"""Races: one event falls between two steps in the handling of another one (docs/crossings.md)."""
 
 from __future__ import annotations
 
@@ -51,14 +51,16 @@
 from cedarledge.terms import ListForm, Outcome
 
 CHANGE = http(b'{"revision":8,"complete":false,"members":[]}')
-# With times that a busy machine keeps too: setups have a third of a second, connections two, clients three.
+# Limits that a busy machine keeps too: attempts have a third of a second, connects two seconds, clients
+# three.
 UNHURRIED = SETTINGS | {
     "allowed": SETTINGS["allowed"] | {"connect_timeout": 2_000_000},
     "profiles": [
         row | {"setup_goal": 1_000_000, "client_timeout": 3_000_000} for row in SETTINGS["profiles"]
     ],
 }
-# Where nothing hangs on how long a setup takes: looks have 0.75 s, setups a second and more.
+# For tests in which the duration of an attempt doesn't matter: probes have 0.75 s, attempts a second and
+# more.
 PATIENT = UNHURRIED | {
     "profiles": [row | {"setup_goal": 3_000_000, "client_timeout": 6_000_000} for row in SETTINGS["profiles"]]
 }
@@ -66,7 +68,7 @@
 
 
 def test_a_connection_that_asks_for_more_than_a_core_is_served(tmp_path: Path) -> None:
-    """One that was open before the run is lost with a refusal, and so is the run."""
+    """A refusal would lose such a connection for good, if it was open before this relay started."""
     backend = Backend("a")
     with Program(tmp_path, [backend]) as relay:
         for names in ("d=4294967,h=1812345.7,at=a", "d=1500,h=1812345.7", "d=1500,h=1e300"):
@@ -75,57 +77,62 @@
         assert relay.client().open(names="c=feed,d=1500,h=-1") == "ERR"
 
 
-# -- the list --------------------------------------------------------------------------------------
+# -- the list of backends --------------------------------------------------------------------------
 
 
-def keys_at(relay: Program, gone: Backend) -> int:
-    """How many of a dozen newcomers the backend gets."""
-    before = len(gone.heads)
-    clients = [relay.client() for _ in range(12)]  # they stay, so that all who may be chosen are
-    said = [client.open(f"{time.monotonic_ns()}", "c=feed,d=6000") for client in clients]
-    assert said == ["UP r"] * 12, relay.log.read_text()
-    return len(gone.heads) - before
+def connections_at(relay: Program, backend: Backend) -> int:
+    """Opens a dozen connections; returns how many of them the backend gets."""
+    before = len(backend.heads)
+    clients = [
+        relay.client() for _ in range(12)
+    ]  # they stay open, so that each backend that may be chosen is chosen
+    answers = [client.open(f"{time.monotonic_ns()}", "c=feed,d=6000") for client in clients]
+    assert answers == ["UP r"] * 12, relay.log.read_text()
+    return len(backend.heads) - before
 
 
 @mark.parametrize(
     "part", [b"", CHANGE[:14], CHANGE[:-9]], ids=["between calls", "in mid-head", "in mid-body"]
 )
 @mark.parametrize("settings", [PATIENT, PUSHED], ids=["asked", "pushed"])
-def test_a_silent_watch_is_opened_anew_before_what_it_missed_counts_as_told(
+def test_a_silent_watch_is_reopened_before_missed_changes_have_to_take_effect(
     settings: dict, part: bytes, tmp_path: Path
 ) -> None:
-    """Waits of 20 s, and a new call 2 to 6 s after each was over, had drains followed seconds too late."""
+    """Guards against drains that take effect seconds too late because the silent watch is detected too late.
+
+    That happened with waits of 20 s, and a new call 2 to 6 s after the end of each.
+    """
     backends = [Backend("a"), Backend("b")]
-    unhurried = settings | {"safety": settings["safety"] | {"ask_every": 10_000_000}}
-    with Program(tmp_path, backends, settings=unhurried) as relay:
+    long_wait = settings | {"safety": settings["safety"] | {"ask_every": 10_000_000}}
+    with Program(tmp_path, backends, settings=long_wait) as relay:
         until(lambda: relay.discovery.calls)
         relay.discovery.fall_silent(part)
         silent = time.monotonic()
         relay.discovery.tell(backends[0].entry("draining"))
         until(lambda: relay.discovery.answered, 8)
-        assert relay.discovery.answered[0] - silent < 5.3, "it counts as told after 6 s"
-        assert not keys_at(relay, backends[0])
+        assert relay.discovery.answered[0] - silent < 5.3, "the drain has to take effect within 6 s"
+        assert not connections_at(relay, backends[0])
         assert "the watch is silent" in relay.log.read_text()
 
 
-def test_a_list_that_lay_unread_while_the_process_was_paused_is_followed(tmp_path: Path) -> None:
-    """Its own time limit was found first, and the answer with the drain went with the call."""
+def test_a_list_unread_during_a_pause_of_the_process_takes_effect(tmp_path: Path) -> None:
+    """After the pause the call's time limit was handled first, and the unread answer was discarded."""
     backends = [Backend("a"), Backend("b")]
     with Program(tmp_path, backends, settings=PATIENT) as relay:
         until(lambda: relay.discovery.calls)
         relay.pause()
         relay.discovery.tell(backends[0].entry("draining"))
         until(lambda: relay.discovery.answered)
-        time.sleep(3.3)  # past the longest wait of 2 s and what a call may take beyond
+        time.sleep(3.3)  # past the longest wait of 2 s plus the time that a call may take
         relay.go_on()
-        assert not keys_at(relay, backends[0])
-        assert len(relay.discovery.calls) == 2, "and the watch goes on"
+        assert not connections_at(relay, backends[0])
+        assert len(relay.discovery.calls) == 2, "and the watch continues"
 
 
-def test_a_pushed_list_is_heard_again_at_once_after_a_reset_and_after_its_service_was_down(
+def test_a_pushed_list_is_watched_again_at_once_after_a_reset_and_an_outage(
     tmp_path: Path,
 ) -> None:
-    """What the agent has counts as told the moment it is back, whether or not a watch is open."""
+    """What the discovery agent knows has to take effect once it is back, with or without an open watch."""
     backends = [Backend("a"), Backend("b")]
     with Program(tmp_path, backends, settings=PUSHED) as relay:
         until(lambda: relay.discovery.calls)
@@ -136,11 +143,11 @@
         until(lambda: relay.discovery.answered)
         assert relay.discovery.answered[0] - back < 0.25
         time.sleep(0.05)
-        assert not keys_at(relay, backends[0])
-        assert relay.log.read_text().count("WARNING discovery") == 1, "once, not at each try"
+        assert not connections_at(relay, backends[0])
+        assert relay.log.read_text().count("WARNING discovery") == 1, "once, not at each attempt"
 
 
-def test_a_watch_that_falls_silent_right_after_discovery_was_down_is_opened_anew_too(tmp_path: Path) -> None:
+def test_a_watch_that_falls_silent_right_after_an_outage_is_reopened_too(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
     with Program(tmp_path, backends, settings=PATIENT) as relay:
         until(lambda: relay.discovery.calls)
@@ -153,18 +160,18 @@
         silent = time.monotonic()
         relay.discovery.tell(backends[0].entry("draining"))
         until(lambda: relay.discovery.answered)
-        assert relay.discovery.answered[0] - silent < 3.5  # by waits of 2 s at most here
-        assert not keys_at(relay, backends[0])
+        assert relay.discovery.answered[0] - silent < 3.5  # waits are at most 2 s here
+        assert not connections_at(relay, backends[0])
 
 
-def test_lines_that_were_answered_while_the_process_was_paused_move_nobody(tmp_path: Path) -> None:
-    """Each tunnel with a line out was taken for silent, and all were moved at once."""
+def test_lines_answered_during_a_pause_of_the_process_move_no_client(tmp_path: Path) -> None:
+    """Each tunnel with an unanswered line was taken for silent after the pause, and all were moved."""
     backend = Backend("a")
     with Program(tmp_path, [backend], settings=PATIENT) as relay:
         clients = [relay.client() for _ in range(5)]
         assert {client.open(str(number)) for number, client in enumerate(clients)} == {"UP r"}
         assert [client.say("M 1") for client in clients] == ["M 1"] * 5
-        backend.deaf = True  # what it hears meanwhile is answered by hand
+        backend.deaf = True  # lines that arrive meanwhile are answered by the test
         for client in clients:
             client.link.sendall(b"M 2\r\n")
         time.sleep(0.1)
@@ -178,7 +185,7 @@
         assert [client.say("M 3") for client in clients] == ["M 3"] * 5
 
 
-def test_an_address_that_fails_is_told_though_the_one_before_had_failed_too(tmp_path: Path) -> None:
+def test_a_failing_address_is_logged_even_if_the_one_before_had_failed_too(tmp_path: Path) -> None:
     with Program(tmp_path, [Backend("a")], settings=PUSHED) as relay:
         until(lambda: relay.discovery.calls)
         relay.discovery.go_down()
@@ -187,8 +194,8 @@
         until(lambda: relay.log.read_text().count("WARNING discovery") == 2)
 
 
-class Pieces(Discovery):
-    """Its lists are indented, and come a few bytes at a time."""
+class ChunkedDiscovery(Discovery):
+    """Sends its lists indented, and a few bytes at a time."""
 
     def text_of(self, told: dict) -> bytes:
         return json.dumps(told, indent=4).encode()
@@ -197,31 +204,31 @@
         link.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for start in range(0, len(data), 7):
             link.sendall(data[start : start + 7])
-            time.sleep(0.001)  # or most would be read together
+            time.sleep(0.001)  # otherwise most of them would be read together
 
 
-def test_an_indented_list_in_pieces_is_followed(tmp_path: Path) -> None:
+def test_an_indented_list_in_small_segments_takes_effect(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
     with Program(tmp_path, backends, settings=PATIENT) as relay:
-        pieces = Pieces([backend.entry() for backend in backends])
+        pieces = ChunkedDiscovery([backend.entry() for backend in backends])
         relay.reload(discovery=pieces.address)
         until(lambda: len(pieces.calls) == 2)
         pieces.tell(backends[0].entry("draining"))
         until(lambda: len(pieces.calls) == 3)
-        assert not keys_at(relay, backends[0])
+        assert not connections_at(relay, backends[0])
 
 
-class Brief(Discovery):
-    """Resets each connection right behind its answer."""
+class ResettingDiscovery(Discovery):
+    """Resets each connection right after its answer."""
 
     def answer(self, link: socket.socket, lines: IO[bytes]) -> None:
         with suppress(OSError):
-            super().answer(link, Once(lines))
+            super().answer(link, FirstCall(lines))
         reset(link, lines)
 
 
-class Once:
-    """The first call of a connection."""
+class FirstCall:
+    """Yields only the lines of the first call of a connection."""
 
     def __init__(self, lines: IO[bytes]) -> None:
         self.lines = lines
@@ -234,22 +241,22 @@
 
 
 @mark.parametrize("settings", [PATIENT, PUSHED], ids=["asked", "pushed"])
-def test_an_answer_right_before_a_reset_is_followed(settings: dict, tmp_path: Path) -> None:
+def test_an_answer_right_before_a_reset_takes_effect(settings: dict, tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
     with Program(tmp_path, backends, settings=settings) as relay:
         until(lambda: relay.discovery.calls)
-        brief = Brief([backend.entry() for backend in backends])
-        relay.reload(discovery=brief.address)
-        until(lambda: len(brief.answered) >= 1 and len(brief.calls) >= 2)
-        brief.tell(backends[0].entry("draining"))
-        until(lambda: len(brief.answered) >= 2)
+        resetting = ResettingDiscovery([backend.entry() for backend in backends])
+        relay.reload(discovery=resetting.address)
+        until(lambda: len(resetting.answered) >= 1 and len(resetting.calls) >= 2)
+        resetting.tell(backends[0].entry("draining"))
+        until(lambda: len(resetting.answered) >= 2)
         time.sleep(0.05)
-        assert not keys_at(relay, backends[0])
+        assert not connections_at(relay, backends[0])
 
 
 @mark.parametrize("trouble", ["silent", "silent in mid-body", "down"])
 @mark.parametrize("settings", [PATIENT, PUSHED], ids=["asked", "pushed"])
-def test_sighup_in_any_trouble_of_the_list_follows_the_other_address(
+def test_sighup_during_any_discovery_failure_moves_to_the_new_address(
     settings: dict, trouble: str, tmp_path: Path
 ) -> None:
     backends = [Backend("a"), Backend("b")]
@@ -265,51 +272,51 @@
         time.sleep(0.2)
         relay.reload(discovery=other.address)
         until(lambda: len(other.calls) == 2, 1)
-        assert not keys_at(relay, backends[0])
-        # Counted from here on: up to the signal a list that comes unasked is asked for ten times a second.
+        assert not connections_at(relay, backends[0])
+        # Counted from here on: before the signal a pushed list is requested ten times a second.
         calls = len(relay.discovery.calls)
-        time.sleep(3)  # past all that was set for the call before
-        assert not keys_at(relay, backends[0])
+        time.sleep(3)  # past all timers of the call before
+        assert not connections_at(relay, backends[0])
         assert len(relay.discovery.calls) == calls
 
 
 @mark.parametrize("settings", [PATIENT, PUSHED], ids=["asked", "pushed"])
-def test_a_new_address_that_says_nothing_is_asked_anew_before_what_it_has_counts(
+def test_a_silent_new_address_is_asked_again_before_its_list_has_to_take_effect(
     settings: dict, tmp_path: Path
 ) -> None:
-    """The silent call for the whole list was taken for a failed one: made again 6 to 10 s after SIGHUP."""
+    """A silent call for the whole list was treated like a failed one, and repeated 6 to 10 s after SIGHUP."""
     backends = [Backend("a"), Backend("b")]
-    unhurried = settings | {"safety": settings["safety"] | {"ask_every": 10_000_000}}
-    with Program(tmp_path, backends, settings=unhurried) as relay:
+    long_wait = settings | {"safety": settings["safety"] | {"ask_every": 10_000_000}}
+    with Program(tmp_path, backends, settings=long_wait) as relay:
         until(lambda: relay.discovery.calls)
-        other = Mum([backends[0].entry("draining"), backends[1].entry()])
+        other = SilentDiscovery([backends[0].entry("draining"), backends[1].entry()])
         relay.reload(discovery=other.address)
-        until(lambda: len(other.calls) == 3, 12)  # silence, the whole list, and the next
-        assert other.calls[1][0] - other.calls[0][0] < 4.5, "it counts as told after 6 s"
-        assert not keys_at(relay, backends[0])
+        until(lambda: len(other.calls) == 3, 12)  # the unanswered call, the whole list, and the next call
+        assert other.calls[1][0] - other.calls[0][0] < 4.5, "the drain has to take effect within 6 s"
+        assert not connections_at(relay, backends[0])
 
 
-class Mum(Discovery):
-    """Says nothing on its first connection."""
+class SilentDiscovery(Discovery):
+    """Answers nothing on its first connection."""
 
     def say(self, link: socket.socket, data: bytes) -> None:
         if len(self.calls) > 1:
             super().say(link, data)
 
 
-def test_a_connect_to_discovery_that_hangs_is_given_up_and_made_again(tmp_path: Path) -> None:
+def test_a_hanging_connect_to_discovery_times_out_and_is_repeated(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
     with Program(tmp_path, backends, settings=PATIENT) as relay, full_queue() as full:
         relay.reload(discovery="{}:{}".format(*full.getsockname()))
         until(lambda: "discovery: no answer in time" in relay.log.read_text(), 4)
-        assert relay.client().open() == "UP r", "by the list that it has"
+        assert relay.client().open() == "UP r", "with the list that it has"
         relay.reload()
         relay.discovery.members = [backends[0].entry("draining"), backends[1].entry()]
-        until(lambda: len(relay.discovery.calls) == 3)  # the first, the whole list, and the next
-        assert not keys_at(relay, backends[0])
+        until(lambda: len(relay.discovery.calls) == 3)  # the first call, the whole list, and the next call
+        assert not connections_at(relay, backends[0])
 
 
-def test_a_whole_list_without_a_member_leaves_its_tunnels_and_sends_it_nothing_new(tmp_path: Path) -> None:
+def test_a_backend_missing_from_a_whole_list_keeps_its_tunnels_and_gets_no_new_ones(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
     with Program(tmp_path, backends, settings=PATIENT) as relay:
         clients = [relay.client() for _ in range(8)]
@@ -317,15 +324,15 @@
         other = Discovery([backends[1].entry()])
         relay.reload(discovery=other.address)
         until(lambda: len(other.calls) == 2, 2)
-        assert backends[0].opened and not keys_at(relay, backends[0])
+        assert backends[0].opened and not connections_at(relay, backends[0])
         assert [client.say("M 1") for client in clients] == ["M 1"] * 8
 
 
-# -- the end, and signals --------------------------------------------------------------------------
+# -- stop and signals ------------------------------------------------------------------------------
 
 
-class Held(Program):
-    """A relay that stands still in its start, at the reading of its configuration, until that is given."""
+class BlockedRelay(Program):
+    """A relay that blocks in its start, reading its configuration from a pipe, until the test writes that."""
 
     def start(self) -> None:
         self.path.unlink(missing_ok=True)
@@ -334,41 +341,41 @@
         until(self._reads)
 
     def _reads(self) -> bool:
-        with suppress(OSError):  # nobody reads yet
+        with suppress(OSError):  # no reader yet
             self.pipe = os.open(self.path, os.O_WRONLY | os.O_NONBLOCK)
             return True
         return False
 
-    def __enter__(self) -> Held:
+    def __enter__(self) -> BlockedRelay:
         return self
 
-    def give(self) -> None:
-        # What is read again later is a file.
+    def write_config(self) -> None:
+        # A later read finds a regular file.
         self.path.rename(self.path.with_name("pipe"))
         self.path.write_text(json.dumps(self.told))
         os.write(self.pipe, json.dumps(self.told).encode())
         os.close(self.pipe)
 
 
-def ends(relay: Program, within: float = 6) -> int:
+def exit_code(relay: Program, within: float = 6) -> int:
     until(lambda: relay.process.poll() is not None, within)
     return relay.process.returncode
 
 
 @mark.parametrize("arguments", [[], ["relay"]])
-def test_told_to_end_in_its_start_a_relay_ends_as_any_other(arguments: list[str], tmp_path: Path) -> None:
-    """Until the reactor ran, SIGTERM had its default: the process was ended by it, as in a crash."""
-    with Held(tmp_path, [Backend("a")], arguments) as relay:
+def test_sigterm_during_the_start_ends_a_relay_normally(arguments: list[str], tmp_path: Path) -> None:
+    """Before the reactor ran, SIGTERM had its default action and killed the process."""
+    with BlockedRelay(tmp_path, [Backend("a")], arguments) as relay:
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP):
             relay.process.send_signal(number)
-        relay.give()
-        assert ends(relay) == 0 and "listens" not in relay.log.read_text()
+        relay.write_config()
+        assert exit_code(relay) == 0 and "listens" not in relay.log.read_text()
 
 
-def test_a_new_configuration_in_mid_start_is_followed(tmp_path: Path) -> None:
+def test_a_new_configuration_during_the_start_takes_effect(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
     other = Discovery([backend.entry() for backend in backends])
-    with Held(tmp_path, backends, settings=PATIENT) as relay:
+    with BlockedRelay(tmp_path, backends, settings=PATIENT) as relay:
         relay.process.send_signal(signal.SIGHUP)
         old = relay.told
         relay.told = old | {"discovery": other.address}
@@ -381,22 +388,26 @@
         assert relay.client().open() == "UP r"
 
 
-@mark.parametrize("words", [(signal.SIGTERM,), (signal.SIGTERM, signal.SIGHUP)], ids=["term", "term and hup"])
-def test_no_signal_ends_a_relay_that_ends(words: tuple[signal.Signals, ...], tmp_path: Path) -> None:
-    """Said over and over, up to the interpreter's own end, which gives signals their defaults back."""
+@mark.parametrize(
+    "signals", [(signal.SIGTERM,), (signal.SIGTERM, signal.SIGHUP)], ids=["term", "term and hup"]
+)
+def test_repeated_signals_do_not_kill_a_relay_that_stops(
+    signals: tuple[signal.Signals, ...], tmp_path: Path
+) -> None:
+    """Signals come until the interpreter's shutdown, which restores their default actions."""
     with Program(tmp_path, [Backend("a"), Backend("b")]) as relay:
         client = relay.client()
         assert client.open() == "UP r"
         start = time.monotonic()
         while relay.process.poll() is None and time.monotonic() - start < 15:
-            for word in words:
-                relay.process.send_signal(word)
+            for number in signals:
+                relay.process.send_signal(number)
             time.sleep(0.001)
         assert relay.process.returncode == 0 and client.hear() == "MOVE"
 
 
-def test_who_came_while_an_ending_relay_was_paused_is_answered(tmp_path: Path) -> None:
-    """Nothing was held as it went on, and the second for newcomers was over: it ended, and reset them."""
+def test_requests_that_arrive_while_a_stopping_relay_is_paused_are_answered(tmp_path: Path) -> None:
+    """After the pause no connection was open and the second for new ones was over: the relay reset them."""
     with Program(tmp_path, [Backend("a"), Backend("b")]) as relay:
         relay.ask_to_stop()
         until(lambda: "stops within" in relay.log.read_text())
@@ -405,15 +416,15 @@
         client.link.sendall(b"OPEN 5 k c=feed,d=1500\r\n")
         time.sleep(1.2)
         relay.go_on()
-        assert client.hear() == "BUSY", "the time for the other relays to take it is over too"
-        assert ends(relay) == 0
+        assert client.hear() == "BUSY", "too little time is left for another relay to serve it"
+        assert exit_code(relay) == 0
 
 
-def test_a_line_that_lay_unread_while_the_process_was_paused_is_answered(tmp_path: Path) -> None:
+def test_a_request_unread_during_a_pause_of_the_process_is_answered(tmp_path: Path) -> None:
     with Program(tmp_path, [Backend("a")]) as relay:
         client, half = relay.client(), relay.client()
         half.link.sendall(b"OPEN 6 k c=feed")
-        until(lambda: relay.answers())  # so both are accepted, and the half line is read
+        until(lambda: relay.answers())  # then both are accepted, and the partial line is read
         relay.pause()
         client.link.sendall(b"OPEN 5 k c=feed,d=3000\r\n")
         half.link.sendall(b",d=3000\r\n")
@@ -422,7 +433,7 @@
         assert [client.hear(), half.hear()] == ["UP r"] * 2
 
 
-def test_the_end_answers_lines_in_pieces_and_setups_that_hang(tmp_path: Path) -> None:
+def test_the_stop_answers_partial_requests_and_hanging_attempts(tmp_path: Path) -> None:
     backends = [Backend("a", "hang"), Backend("b", "hang")]
     with Program(tmp_path, backends) as relay:
         hung, once, pieces, quiet = (relay.client() for _ in range(4))
@@ -440,28 +451,28 @@
         late.link.sendall(b"500\r\n")
         for client in (hung, once, pieces, late):
             assert client.hear() in ("ERR", "BUSY") and client.hear() == ""
-        assert quiet.hear() in ("", "reset"), "it has asked for nothing"
-        assert ends(relay) == 0
+        assert quiet.hear() in ("", "reset"), "it has sent no request"
+        assert exit_code(relay) == 0
         assert sum(head.startswith("OPEN 2 ") for backend in backends for head in backend.heads) == 1
 
 
-def test_an_answer_on_its_way_as_all_are_ended_reaches_its_client(tmp_path: Path) -> None:
-    """The sweep at the end found its time over first, and said ERR over an UP that lay unread."""
+def test_a_backends_answer_unread_at_the_final_sweep_reaches_its_client(tmp_path: Path) -> None:
+    """After the pause the final sweep ran first, and sent ERR although an UP was still unread."""
     backend = Backend("a", "hang")
     with Program(tmp_path, [backend]) as relay:
-        client = asks(relay, "c=bill,d=3000")
+        client = send_request(relay, "c=bill,d=3000")
         until(lambda: backend.heads)
         relay.ask_to_stop()
         until(lambda: "stops within" in relay.log.read_text())
         relay.pause()
         backend.last.sendall(b"UP r\r\n")
-        time.sleep(2)  # past all the time that it takes to end
+        time.sleep(2)  # past all time limits of the stop
         relay.go_on()
         assert client.hear() == "UP r" and client.hear() == "MOVE"
-        assert ends(relay) == 0
+        assert exit_code(relay) == 0
 
 
-STARTS = [
+START_METHODS = [
     "relay Relay __init__ before",
     "relay Relay __init__ after",
     "relay Relay open before",
@@ -469,8 +480,8 @@
 ]
 
 
-@mark.parametrize("place", STARTS)
-def test_a_signal_at_any_step_of_the_start_is_heard(place: str, tmp_path: Path) -> None:
+@mark.parametrize("place", START_METHODS)
+def test_a_signal_at_any_step_of_the_start_is_handled(place: str, tmp_path: Path) -> None:
     backend = Backend("a")
     other = Discovery([backend.entry()])
     relay = SelfStoppingRelay(tmp_path, [backend], place.split(), settings=PATIENT)
@@ -481,30 +492,30 @@
         until(lambda: other.calls)
         assert relay.client().open() == "UP r"
         relay.ask_to_stop()
-        assert ends(relay) == 0
+        assert exit_code(relay) == 0
         relay.start()
         relay.until_paused()
         relay.ask_to_stop()
         relay.go_on()
-        assert ends(relay) == 0
+        assert exit_code(relay) == 0
     finally:
         relay.__exit__()
 
 
-def test_a_peer_that_keeps_its_side_open_after_its_answer_holds_no_end_up(tmp_path: Path) -> None:
-    """Answered at the last moment it had a second more, and the platform kills the process 0.4 s later."""
+def test_a_peer_that_does_not_close_after_its_answer_does_not_delay_the_stop(tmp_path: Path) -> None:
+    """A peer answered at the last moment had a second to close, but the process is killed 0.4 s later."""
     backends = [Backend("a", "hang"), Backend("b", "hang")]
     with Program(tmp_path, backends) as relay:
-        client = asks(relay)
+        client = send_request(relay)
         until(lambda: any(backend.heads for backend in backends))
         relay.ask_to_stop()
         start = time.monotonic()
         assert client.hear() in ("ERR", "BUSY") and client.hear() == ""
-        assert ends(relay) == 0
-        assert time.monotonic() - start < 2.5, "1.5 s and a little more"
+        assert exit_code(relay) == 0
+        assert time.monotonic() - start < 2.5, "1.5 s plus a margin"
 
 
-def test_sigterm_while_out_of_service_ends_as_any_other(tmp_path: Path) -> None:
+def test_sigterm_while_out_of_service_moves_clients_and_stops(tmp_path: Path) -> None:
     control = free_address()
     with Program(tmp_path, [Backend("a")], control=control) as relay:
         clients = [relay.client() for _ in range(6)]
@@ -512,11 +523,11 @@
         assert call(control, "POST", "/control/out-of-service") == 200
         relay.ask_to_stop()
         assert [client.hear() for client in clients] == ["MOVE"] * 6
-        assert ends(relay, 3) == 0
+        assert exit_code(relay, 3) == 0
 
 
-class Wire:
-    """A transport that takes what it is given to the system in the reactor's next turn, as TCP's does."""
+class RecordingTransport:
+    """Records the calls of a transport that writes its data in the reactor's next turn, as TCP's does."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -525,8 +536,8 @@
         return lambda *_: self.calls.append(name)
 
 
-def test_the_last_answer_of_a_process_that_is_paused_goes_out_first() -> None:
-    """Paused as it ended a connection, it found the time for its peer over before it had written anything."""
+def test_a_pause_of_the_process_does_not_lose_the_last_answer() -> None:
+    """After a pause during a close the peer's time was over before the answer had been written."""
     clock = Clock()
 
     def now() -> int:
@@ -536,11 +547,11 @@
     link = Link(
         ConnectionContext(clock, now, timers, Pool(9, 1), Slots(1), RateLimitedLog(timers), Invariants())
     )
-    link.transport = Wire()
+    link.transport = RecordingTransport()
     link.connectionMade()
     link.finish()
     clock.advance((LINGER + 200 * MS) / SECOND)
-    assert "abortConnection" not in link.transport.calls, "it writes in this turn"
+    assert "abortConnection" not in link.transport.calls, "the data is written in this turn"
     clock.advance(0.002)
     assert link.transport.calls[-1] == "abortConnection"
 
@@ -548,8 +559,8 @@
 # -- a client that leaves while it waits -------------------------------------------------------------
 
 
-def stopping(place: str) -> list[str]:
-    """The command of a relay that stops itself at a place; see stopping_relay.py."""
+def stopping_command(place: str) -> list[str]:
+    """Returns the command of a relay that sends itself SIGSTOP at a method; see stopping_relay.py."""
     return [
         sys.executable,
         str(Path(__file__).with_name("stopping_relay.py")),
@@ -559,7 +570,7 @@
 
 class SelfStoppingRelay(Program):
     def command(self) -> list[str]:
-        return stopping(" ".join(self.arguments))
+        return stopping_command(" ".join(self.arguments))
 
 
 def leave(client: Client, abrupt: bool) -> None:
@@ -569,15 +580,15 @@
         client.close()
 
 
-def asks(relay: Program, names: str = "c=feed,d=3000") -> Client:
+def send_request(relay: Program, names: str = "c=feed,d=3000") -> Client:
     client = relay.client()
     client.id = f"{time.monotonic_ns():x}"
     client.link.sendall(f"OPEN {client.id} k {names}\r\n".encode())
     return client
 
 
-def holds(relay: Program) -> int:
-    """How many descriptors, the one for discovery among them: its first call is put off by a draw."""
+def descriptor_count(relay: Program) -> int:
+    """Counts the descriptors once the connection to discovery is open; its first call has a random delay."""
     until(lambda: relay.discovery.calls)
     return len(os.listdir(f"/proc/{relay.process.pid}/fd"))
 
@@ -593,32 +604,34 @@
         "backends SetupLink came_up after",
     ],
 )
-def test_who_leaves_while_the_process_is_paused_is_not_sent_on(
+def test_clients_that_leave_during_a_pause_of_the_process_are_not_sent_to_a_backend(
     place: str, abrupt: bool, tmp_path: Path
 ) -> None:
-    """The line waited for the reactor's next turn, and went out in it whatever the client had done since."""
+    """The request waited for the reactor's next turn, and was sent even if the client had left meanwhile."""
     backend = Backend("a")
     with SelfStoppingRelay(tmp_path, [backend], place.split(), settings=UNHURRIED) as relay:
-        before = holds(relay)
-        client = asks(relay)
+        before = descriptor_count(relay)
+        client = send_request(relay)
         relay.until_paused()
         time.sleep(0.05)
-        sent = len(backend.heads)  # while the client was there
+        sent = len(backend.heads)  # before the client left
         leave(client, abrupt)
         time.sleep(0.35)
         relay.go_on()
-        until(lambda: holds(relay) <= before + 1)  # one for the probes that are kept
+        until(lambda: descriptor_count(relay) <= before + 1)  # one kept connection for probes
         assert len(backend.heads) == sent
         assert relay.client().open() == "UP r"
 
 
 @mark.parametrize("leaves", [True, False])
-def test_who_says_more_before_its_answer_is_not_sent_on_from_then(leaves: bool, tmp_path: Path) -> None:
-    """What it said lay before its end, and hid it: its line went out 0.35 s after it had left."""
+def test_a_client_that_sends_more_before_its_answer_is_not_sent_to_a_backend(
+    leaves: bool, tmp_path: Path
+) -> None:
+    """Unread data hid the FIN behind it: the request was sent 0.35 s after the client had left."""
     backend = Backend("a")
     place = "backends SetupLink came_up before"
     with SelfStoppingRelay(tmp_path, [backend], place.split(), settings=UNHURRIED) as relay:
-        client = asks(relay)
+        client = send_request(relay)
         relay.until_paused()
         client.link.sendall(b"M")
         if leaves:
@@ -629,17 +642,17 @@
         assert relay.client().open() == "UP r"
 
 
-def test_of_a_storm_of_clients_that_leave_none_is_sent_on_later(tmp_path: Path) -> None:
-    """Most of them before their line is read, with it in one packet or behind it, by FIN or by a reset."""
+def test_none_of_many_clients_that_leave_is_sent_to_a_backend_later(tmp_path: Path) -> None:
+    """Most leave before their request is read, by FIN or reset, in one packet with it or after it."""
     backends = [Backend(name) for name in "abc"]
     with Program(tmp_path, backends, settings=UNHURRIED) as relay:
         assert relay.client().open() == "UP r"
-        before = holds(relay)
+        before = descriptor_count(relay)
         for number in range(40):
             gone: list[Client] = []
             relay.pause()
             for place in range(10):
-                client = asks(relay)
+                client = send_request(relay)
                 gone.append(client)
                 if place % 2:
                     leave(client, abrupt=place % 4 == 1)
@@ -649,65 +662,65 @@
             relay.go_on()
             if number % 8 == 7:
                 assert relay.client().open() == "UP r"
-        until(lambda: holds(relay) <= before + 2 + 5 * 2)
+        until(lambda: descriptor_count(relay) <= before + 2 + 5 * 2)
         heads = sum(len(backend.heads) for backend in backends)
-        assert heads == 6, f"{heads - 6} of 400 were sent on"
+        assert heads == 6, f"{heads - 6} of 400 were sent to a backend"
 
 
-class Withholding(Backend):
-    """Answers no probe until it is let."""
+class WithheldProbes(Backend):
+    """Answers no probe until the test allows it."""
 
     def __init__(self, name: str) -> None:
-        self.asked, self.let = Event(), Event()
+        self.probed, self.allowed = Event(), Event()
         super().__init__(name)
 
     def talk(self, link: socket.socket, lines: IO[bytes]) -> None:
         if lines.peek(1).startswith(b"STATS"):
-            self.asked.set()
-            self.let.wait(5)
+            self.probed.set()
+            self.allowed.wait(5)
         super().talk(link, lines)
 
 
-def test_who_leaves_during_a_look_is_not_sent_on(tmp_path: Path) -> None:
-    backend = Withholding("a")
+def test_a_client_that_leaves_during_a_probe_is_not_sent_to_a_backend(tmp_path: Path) -> None:
+    backend = WithheldProbes("a")
     with Program(tmp_path, [backend], settings=UNHURRIED) as relay:
-        client = asks(relay)
-        assert backend.asked.wait(5)
+        client = send_request(relay)
+        assert backend.probed.wait(5)
         leave(client, abrupt=False)
-        until(relay.answers)  # so its end has been read
-        backend.let.set()
+        until(relay.answers)  # then the client's FIN has been read
+        backend.allowed.set()
         assert relay.client().open() == "UP r"
         time.sleep(0.35)
         assert len(backend.heads) == 1
 
 
-def test_who_leaves_while_a_backend_hangs_is_not_set_up_at_the_other(tmp_path: Path) -> None:
+def test_a_client_that_leaves_during_a_hanging_attempt_gets_no_further_attempt(tmp_path: Path) -> None:
     backends = [Backend("a", "hang"), Backend("b", "hang")]
     with Program(tmp_path, backends, settings=UNHURRIED) as relay:
         for abrupt in (False, True):
             before = sum(len(backend.heads) for backend in backends)
-            client = asks(relay)
+            client = send_request(relay)
             until(lambda before=before: sum(len(backend.heads) for backend in backends) > before)
             leave(client, abrupt)
-            time.sleep(1)  # past the time of the setup that hung
+            time.sleep(1)  # past the limit of the attempt that hangs
             assert sum(len(backend.heads) for backend in backends) == before + 1
 
 
 @contextmanager
 def full_queue() -> Iterator[socket.socket]:
-    """Who connects there waits: the system makes the connection a second after there is room."""
+    """A listener with a full queue: a connect succeeds about a second after there is room (a SYN retry)."""
     with socket.socket() as late, ExitStack() as fillers:
         late.bind(("127.0.0.1", 0))
         late.listen(0)
-        for _ in range(3):  # more than the system's queue takes
+        for _ in range(3):  # more than fit in the kernel's queue
             filler = fillers.enter_context(socket.socket())
             filler.setblocking(False)
             filler.connect_ex(late.getsockname())
         yield late
 
 
-def line_at(late: socket.socket) -> bytes:
-    """Makes room, and gives the first that somebody sends then; nothing where nobody does for two seconds."""
+def first_data(late: socket.socket) -> bytes:
+    """Makes room in the queue; returns the first data that arrives within two seconds, or nothing."""
     late.settimeout(2)
     came = b""
     with suppress(TimeoutError):
@@ -720,31 +733,33 @@
 
 
 @mark.parametrize("leaves", [True, False])
-def test_who_leaves_during_a_connect_that_comes_up_late_is_not_sent_on(leaves: bool, tmp_path: Path) -> None:
-    """And who stays is: the system makes the connection a second later."""
-    told = UNHURRIED | {
+def test_a_client_that_leaves_during_a_slow_connect_is_not_sent_to_a_backend(
+    leaves: bool, tmp_path: Path
+) -> None:
+    """A client that stays is served: the connect succeeds a second later."""
+    settings = UNHURRIED | {
         "allowed": UNHURRIED["allowed"] | {"probes": False},
         "profiles": [row | {"setup_goal": 3_000_000} for row in UNHURRIED["profiles"]],
     }
     backend = Backend("a")
     with full_queue() as late:
         backend.address = "{}:{}".format(*late.getsockname())
-        with Program(tmp_path, [backend], settings=told) as relay:
-            client = asks(relay)
+        with Program(tmp_path, [backend], settings=settings) as relay:
+            client = send_request(relay)
             time.sleep(0.2)
             if leaves:
                 leave(client, abrupt=False)
-            assert line_at(late).startswith(b"OPEN") is not leaves
+            assert first_data(late).startswith(b"OPEN") is not leaves
 
 
-def test_who_leaves_as_the_process_ends_or_hands_over_is_not_sent_on(tmp_path: Path) -> None:
+def test_clients_that_leave_during_a_stop_or_hot_restart_are_not_sent_to_a_backend(tmp_path: Path) -> None:
     backend = Backend("a")
-    with Steps(tmp_path, [backend], "", "clients Listener open before") as relay:
+    with StoppingProcesses(tmp_path, [backend], "", "clients Listener open before") as relay:
         until(relay.ready)
         relay.start()
         relay.until_paused()
         for abrupt in (False, True):
-            leave(asks(relay), abrupt)  # in the queue that both share
+            leave(send_request(relay), abrupt)  # in the queue that both processes share
         time.sleep(0.35)
         relay.go_on()
         until(relay.ready)
@@ -754,20 +769,20 @@
         until(lambda: relay.log.read_text().count("stops within") == 2)
         relay.pause()
         for abrupt in (False, True):
-            leave(asks(relay), abrupt)
+            leave(send_request(relay), abrupt)
         time.sleep(0.35)
         relay.go_on()
         assert relay.process.wait(timeout=5) == 0
         assert not backend.heads
 
 
-def test_who_is_moved_comes_again_and_leaves_is_not_sent_on(tmp_path: Path) -> None:
+def test_moved_clients_that_come_again_and_leave_are_not_sent_to_a_backend(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
     with Program(tmp_path, backends, settings=UNHURRIED) as relay:
         clients = [relay.client() for _ in range(60)]
         assert {client.open(str(number)) for number, client in enumerate(clients)} == {"UP r"}
         relay.discovery.tell(backends[0].entry("draining"))
-        time.sleep(2)  # half of the time in which a draining backend is emptied
+        time.sleep(2)  # half of the time in which the clients of a draining backend are moved
         relay.pause()
         heads = sum(len(backend.heads) for backend in backends)
         moved = []
@@ -775,7 +790,7 @@
             client.link.settimeout(0.01)
             with suppress(TimeoutError):
                 if client.hear() == "MOVE":
-                    moved.append(asks(relay))
+                    moved.append(send_request(relay))
         assert len(moved) > 5
         for number, client in enumerate(moved):
             leave(client, abrupt=number % 2 > 0)
@@ -786,8 +801,8 @@
         assert sum(len(backend.heads) for backend in backends) == heads + 1
 
 
-def test_a_look_that_nobody_waits_for_any_more_harms_no_member() -> None:
-    """Its client had left; the next look's end took the member for one that did not answer in time."""
+def test_a_probe_whose_client_has_left_does_not_mark_the_backend() -> None:
+    """The end of a later probe counted the backend as one that did not answer in time."""
     ledger = fleet(2, cells=1)
     ledger.answers = False
     ledger.run(4 * SECOND)
@@ -799,7 +814,7 @@
     assert not seen.busy_until and not ledger.balancer.state.waiting and not ledger.balancer.state.connections
 
 
-def test_what_was_never_sent_costs_a_cold_member_nothing_of_its_budget() -> None:
+def test_a_request_that_was_never_sent_uses_no_slow_start_budget() -> None:
     ledger = fleet(3, cells=1)
     teach(ledger)
     ledger.tell(ListForm.CHANGES, listed(0, cells=1, started=START))
@@ -818,8 +833,8 @@
 # -- kept connections ------------------------------------------------------------------------------
 
 
-class Closing(Backend):
-    """Closes a probe's connection as its second probe comes, which it has not read."""
+class ClosingBackend(Backend):
+    """Closes the connection when a second probe arrives on it, without reading that probe."""
 
     def __init__(self, name: str, abrupt: bool) -> None:
         super().__init__(name)
@@ -839,15 +854,15 @@
 
 
 @mark.parametrize("abrupt", [False, True], ids=["fin", "reset"])
-def test_a_kept_connection_that_its_backend_closes_is_no_sign_against_the_backend(
+def test_a_kept_connection_closed_by_its_backend_does_not_count_against_the_backend(
     abrupt: bool, tmp_path: Path, monkeypatch: MonkeyPatch
 ) -> None:
-    """It was taken for one that does not answer, and got no newcomers for two seconds."""
+    """The backend was taken for one that does not answer, and got no new connections for two seconds."""
     monkeypatch.setenv("LOGURU_LEVEL", "DEBUG")
-    backend = Closing("a", abrupt)
+    backend = ClosingBackend("a", abrupt)
     with Program(tmp_path, [backend]) as relay:
         for number in range(3):
-            # What was seen longer ago than that is looked at before it is chosen.
+            # A backend whose last report is older than this is probed before it is chosen.
             time.sleep(2.1)
             assert relay.client().open() == "UP r" and len(backend.heads) == number + 1
         assert backend.closed and "probe of a: False" not in relay.log.read_text()
@@ -856,8 +871,8 @@
         until(lambda: "probe of a: False" in relay.log.read_text())
 
 
-class Endless(Backend):
-    """Its answer has no end."""
+class EndlessBackend(Backend):
+    """Sends an endless answer."""
 
     def talk(self, link: socket.socket, lines: IO[bytes]) -> None:
         if lines.peek(1).startswith(b"OPEN"):
@@ -867,8 +882,8 @@
         super().talk(link, lines)
 
 
-class Mute(Backend):
-    """Takes what comes and says nothing, not even to a probe."""
+class MuteBackend(Backend):
+    """Reads everything and answers nothing, not even probes."""
 
     def talk(self, link: socket.socket, lines: IO[bytes]) -> None:
         self.heads += [line.decode().strip() for line in iter(lines.readline, b"")]
@@ -878,26 +893,28 @@
     return int(Path(f"/proc/{relay.process.pid}/statm").read_text().split()[1])
 
 
-@mark.parametrize("kind", [Endless, Mute])
-def test_answers_without_end_or_beginning_and_clients_that_send_much_cost_nothing_lasting(
+@mark.parametrize("kind", [EndlessBackend, MuteBackend])
+def test_endless_or_missing_answers_and_clients_that_send_much_leak_nothing(
     kind: type[Backend], tmp_path: Path
 ) -> None:
     bad, good = kind("a"), Backend("b")
     with Program(tmp_path, [bad, good], settings=UNHURRIED) as relay:
         assert relay.client().open(names="c=feed,d=3000") == "UP r"
-        descriptors, before = holds(relay), pages(relay)
+        descriptors, before = descriptor_count(relay), pages(relay)
         for number in range(60):
             client = relay.client()
-            with suppress(OSError):  # it is refused within the first of it
+            with suppress(OSError):  # the relay refuses it early on
                 client.link.sendall((b"OPEN 1 k c=feed,d=900\r\n" if number % 2 else b"y") * 20_000)
             leave(client, abrupt=number % 3 == 0)
         clients = [relay.client() for _ in range(10)]
         assert {client.open(names="c=feed,d=3000") for client in clients} == {"UP r"}
-        if kind is Endless:
-            assert bad.heads, "it was tried"
+        if kind is EndlessBackend:
+            assert bad.heads, "it got an attempt"
         for client in clients:
             client.close()
-        until(lambda: holds(relay) <= descriptors + 1)  # one for the other's probes, which is kept
+        until(
+            lambda: descriptor_count(relay) <= descriptors + 1
+        )  # one kept connection for probes of the other backend
         assert pages(relay) - before < 8 << 8, "8 MB in pages of 4 KiB"
 
 
@@ -906,8 +923,8 @@
 EFFECTS = UNHURRIED | {
     "profiles": [*UNHURRIED["profiles"], UNHURRIED["profiles"][0] | {"name": "mark", "semantics": "token"}]
 }
-# What its backend says as the setup's time is over, and who may be set up once more behind it.
-LATE_WORDS = {
+# What the backend answers as the attempt's time runs out, and the classes that may be attempted again then.
+LATE_ANSWERS = {
     "UP late": (),
     "BUSY": ("feed", "bill", "mark"),
     "ERR": ("feed", "mark"),
@@ -918,26 +935,26 @@
 }
 
 
-def late_word(relay: Program, word: str, name: str, beside: str = "") -> tuple[Client, list[Backend]]:
-    """The client, the backend that has its line, and the other one, as the relay goes on."""
+def late_answer(relay: Program, answer: str, name: str, meanwhile: str = "") -> tuple[Client, list[Backend]]:
+    """Returns the client, the backend that got its request, and the other one; the relay runs again."""
     until(lambda: relay.discovery.calls)
-    client = asks(relay, f"c={name},d=3000")
+    client = send_request(relay, f"c={name},d=3000")
     relay.until_paused()
     until(lambda: any(backend.heads for backend in relay.backends))
     first, other = sorted(relay.backends, key=lambda backend: not backend.heads)
     other.modes = ["UP r"]
-    if word == "reset":
-        # Its thread reads on it: told that nothing more comes, that closes it, which resets it.
+    if answer == "reset":
+        # The backend's thread is reading: shut down for reading it closes the socket, which sends a reset.
         first.last.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         first.last.shutdown(socket.SHUT_RD)
         until(lambda: first.ends)
     else:
-        first.last.sendall(b"".join(part.encode() + b"\r\n" for part in word.split("|")))
-    if beside == "drains":
+        first.last.sendall(b"".join(part.encode() + b"\r\n" for part in answer.split("|")))
+    if meanwhile == "drains":
         relay.discovery.tell(other.entry("draining"))
-    elif beside:
-        leave(client, abrupt=beside == "resets")
-    time.sleep(0.8)  # past the setup's time-out, within the client's wait
+    elif meanwhile:
+        leave(client, abrupt=meanwhile == "resets")
+    time.sleep(0.8)  # past the attempt's time-out, within the client's deadline
     relay.go_on()
     return client, [first, other]
 
@@ -946,59 +963,57 @@
 
 
 @mark.parametrize("name", ["feed", "bill", "mark"])
-@mark.parametrize("word", LATE_WORDS)
-def test_a_word_that_comes_as_the_time_is_over_counts_for_what_it_says(
-    word: str, name: str, tmp_path: Path
-) -> None:
+@mark.parametrize("answer", LATE_ANSWERS)
+def test_an_answer_that_arrives_as_the_time_runs_out_counts(answer: str, name: str, tmp_path: Path) -> None:
     with SelfStoppingRelay(
         tmp_path, [Backend("a", "hang"), Backend("b", "hang")], WRITTEN.split(), settings=EFFECTS
     ) as relay:
-        client, (first, other) = late_word(relay, word, name)
-        again = name in LATE_WORDS[word]
-        assert client.hear() == ("UP late" if word.startswith("UP") else "UP r" if again else "ERR")
+        client, (first, other) = late_answer(relay, answer, name)
+        again = name in LATE_ANSWERS[answer]
+        assert client.hear() == ("UP late" if answer.startswith("UP") else "UP r" if again else "ERR")
         assert (len(first.heads), len(other.heads)) == (1, again)
-        if word.startswith("UP") or again:
-            assert client.say("M 1") == "M 1", "and nothing more of the first one's"
+        if answer.startswith("UP") or again:
+            assert client.say("M 1") == "M 1", "and no further data of the first backend"
 
 
-@mark.parametrize("beside", ["drains", "leaves", "resets"])
-@mark.parametrize("word", ["BUSY", "reset"])
-def test_with_the_others_drain_or_the_clients_end_in_the_same_turn_nothing_more_goes_out(
-    word: str, beside: str, tmp_path: Path
+@mark.parametrize("meanwhile", ["drains", "leaves", "resets"])
+@mark.parametrize("answer", ["BUSY", "reset"])
+def test_no_further_attempt_if_the_other_backend_drains_or_the_client_leaves_in_the_same_turn(
+    answer: str, meanwhile: str, tmp_path: Path
 ) -> None:
     with SelfStoppingRelay(
         tmp_path, [Backend("a", "hang"), Backend("b", "hang")], WRITTEN.split(), settings=EFFECTS
     ) as relay:
-        client, (first, other) = late_word(relay, word, "feed", beside)
-        if beside == "drains":
+        client, (first, other) = late_answer(relay, answer, "feed", meanwhile)
+        if meanwhile == "drains":
             assert client.hear() in ("BUSY", "ERR") and client.hear() == ""
         until(lambda: relay.answers())
         time.sleep(0.3)
         assert not other.heads
-        # Repeatable, and nobody else is left: the first may be asked once more while its client waits.
-        assert len(first.heads) == 1 or (beside == "drains" and word == "reset")
+        # The request is repeatable and no other backend is left: the first one may be attempted again.
+        assert len(first.heads) == 1 or (meanwhile == "drains" and answer == "reset")
 
 
 @mark.parametrize("name", ["feed", "bill", "mark"])
-def test_a_wait_shorter_than_the_connect_is_answered_and_nothing_goes_out_after_it(
+def test_a_deadline_shorter_than_the_connect_is_answered_and_nothing_is_sent_later(
     name: str, tmp_path: Path
 ) -> None:
-    told = EFFECTS | {"allowed": EFFECTS["allowed"] | {"probes": False}}
+    settings = EFFECTS | {"allowed": EFFECTS["allowed"] | {"probes": False}}
     backend = Backend("a")
     with full_queue() as late:
         backend.address = "{}:{}".format(*late.getsockname())
-        with Program(tmp_path, [backend], settings=told) as relay:
-            client, start = asks(relay, f"c={name},d=600"), time.monotonic()
-            assert client.hear() == "BUSY" and client.hear() == "", "it never ran"
-            assert time.monotonic() - start < 1, "before the connection could come up"
-            assert not line_at(late)
+        with Program(tmp_path, [backend], settings=settings) as relay:
+            client, start = send_request(relay, f"c={name},d=600"), time.monotonic()
+            assert client.hear() == "BUSY" and client.hear() == "", "the request never ran"
+            assert time.monotonic() - start < 1, "before the connect could succeed"
+            assert not first_data(late)
 
 
-# -- one process after the other -------------------------------------------------------------------
+# -- hot restart -----------------------------------------------------------------------------------
 
 
-class Steps(RestartableRelay):
-    """Processes that stop themselves at a place each; an empty one does not."""
+class StoppingProcesses(RestartableRelay):
+    """Processes that each send themselves SIGSTOP at a method; with an empty entry a process does not."""
 
     def __init__(self, tmp: Path, backends: list[Backend], *places: str) -> None:
         self.places = list(places)
@@ -1006,11 +1021,11 @@
 
     def command(self) -> list[str]:
         place = self.places.pop(0) if self.places else ""
-        return stopping(place) if place else super().command()
+        return stopping_command(place) if place else super().command()
 
 
-def holds_together(relay: Steps) -> None:
-    """Whoever is there serves newcomers, and ends as it should."""
+def check_processes(relay: StoppingProcesses) -> None:
+    """Checks that the processes serve new clients and stop normally."""
     clients = [relay.client() for _ in range(4)]
     assert {client.open(str(number), "c=feed,d=3000") for number, client in enumerate(clients)} == {"UP r"}
     living = [process for process in relay.processes if process.poll() is None]
@@ -1020,7 +1035,7 @@
     assert [process.wait(timeout=5) for process in living] == [0] * len(living)
 
 
-STEPS = [
+METHODS = [
     "relay Relay open before",
     "handover Handover take_over after",
     "clients Listener open before",
@@ -1029,33 +1044,33 @@
 ]
 
 
-@mark.parametrize("end", ["late", "told to end", "killed"])
-@mark.parametrize("place", STEPS)
-def test_a_new_process_that_stops_or_dies_between_its_steps_costs_nobody(
+@mark.parametrize("end", ["late", "terminated", "killed"])
+@mark.parametrize("place", METHODS)
+def test_a_new_process_that_pauses_or_dies_between_its_steps_loses_no_client(
     place: str, end: str, tmp_path: Path
 ) -> None:
     backend = Backend("a")
-    with Steps(tmp_path, [backend], "", place) as relay:
+    with StoppingProcesses(tmp_path, [backend], "", place) as relay:
         until(relay.ready)
         before = relay.client()
         assert before.open() == "UP r"
         relay.start()
         relay.until_paused()
-        waits = asks(relay, "c=feed,d=3000")
+        waits = send_request(relay, "c=feed,d=3000")
         if end == "killed":
             relay.process.kill()
-        elif end == "told to end":
+        elif end == "terminated":
             relay.process.terminate()
         else:
             time.sleep(1.7)  # past the lease
         relay.go_on()
         assert waits.hear() in ("UP r", "BUSY")
-        if end == "told to end":
+        if end == "terminated":
             assert relay.process.wait(timeout=6) == 0
         elif end == "late":
             until(relay.ready)
         assert before.say("M 1") == "M 1"
-        holds_together(relay)
+        check_processes(relay)
 
 
 @mark.parametrize("end", ["late", "killed"])
@@ -1068,32 +1083,32 @@
         "_takeover_confirmed after",
     ],
 )
-def test_an_old_process_that_stops_or_dies_between_its_steps_costs_no_newcomer(
+def test_an_old_process_that_pauses_or_dies_between_its_steps_loses_no_new_client(
     place: str, end: str, tmp_path: Path
 ) -> None:
-    with Steps(tmp_path, [Backend("a")], f"handover Handover {place}") as relay:
+    with StoppingProcesses(tmp_path, [Backend("a")], f"handover Handover {place}") as relay:
         until(relay.ready)
         before = relay.client()
         assert before.open() == "UP r"
         old = relay.process
         relay.start()
         until(lambda: paused(old.pid))
-        waits = asks(relay)
+        waits = send_request(relay)
         if end == "killed":
             old.kill()
         else:
-            time.sleep(1.7)  # past the lease, and what the new one waits for an answer
+            time.sleep(1.7)  # past the lease, and past the new process's wait for an answer
             old.send_signal(signal.SIGCONT)
         assert waits.hear() == "UP r"
         until(relay.ready)
         if end == "late":
             assert before.say("M 1") == "M 1"
-        holds_together(relay)
+        check_processes(relay)
 
 
-def test_the_lease_ends_as_the_word_that_it_was_taken_lies_unread(tmp_path: Path) -> None:
-    """The old process, paused, found its lease over first, and both said that they serve."""
-    with Steps(tmp_path, [Backend("a")], "", "handover PeerProcess send before") as relay:
+def test_the_lease_ends_while_the_confirmation_is_still_unread(tmp_path: Path) -> None:
+    """After a pause the old process handled the end of the lease first, and both processes reported ready."""
+    with StoppingProcesses(tmp_path, [Backend("a")], "", "handover PeerProcess send before") as relay:
         until(relay.ready)
         old = relay.processes[0]
         relay.start()
@@ -1103,35 +1118,35 @@
         until(relay.ready)
         time.sleep(1.7)
         old.send_signal(signal.SIGCONT)
-        until(lambda: relay.said("the new process serves") or relay.said("did not take over in time"))
-        assert not relay.ready(0) and relay.ready() and not relay.said("did not take over in time")
-        holds_together(relay)
+        until(lambda: relay.logged("the new process serves") or relay.logged("did not take over in time"))
+        assert not relay.ready(0) and relay.ready() and not relay.logged("did not take over in time")
+        check_processes(relay)
 
 
-def test_the_other_processs_word_that_it_heard_a_call_may_lie_unread(tmp_path: Path) -> None:
-    """Paused, the process found the time for that word over, and took the other for one that hangs."""
-    clock, told, done = Clock(), [], []
+def test_an_acknowledgement_by_the_other_process_may_still_be_unread(tmp_path: Path) -> None:
+    """After a pause the process handled the time-out first, and took the other process for one that hangs."""
+    clock, sent, done = Clock(), [], []
 
     def now() -> int:
         return round(clock.seconds() * SECOND)
 
     context = SimpleNamespace(reactor=clock, timers=Timers(clock, now), links=None)
     handover = Handover(context, tmp_path, "n0", *[None] * 5)
-    peer = handover.successor = SimpleNamespace(send=lambda **line: told.append(line))
+    peer = handover.successor = SimpleNamespace(send=lambda **line: sent.append(line))
     for number in (1, 2):
         handover.forward("offline", "a", lambda number=number: done.append(number))
         clock.advance((ACKNOWLEDGE_WITHIN + 200 * MS) / SECOND)
-        assert len(told) == number and len(done) == number - 1, "its word may lie unread"
+        assert len(sent) == number and len(done) == number - 1, "the acknowledgement may still be unread"
         if number == 1:
-            handover.message_received(peer, {"done": told[0]["call"]})
+            handover.message_received(peer, {"done": sent[0]["call"]})
         else:
-            clock.advance(0.002)  # it hangs
+            clock.advance(0.002)  # the other process hangs
         assert done == [1, 2][:number]
     clock.advance(5)
     assert done == [1, 2]
 
 
-def test_an_operators_call_that_came_while_the_process_was_paused_is_answered(tmp_path: Path) -> None:
+def test_an_operators_call_during_a_pause_of_the_process_is_answered(tmp_path: Path) -> None:
     control = free_address()
     host, _, port = control.rpartition(":")
     with (
@@ -1147,9 +1162,11 @@
         assert caller.recv(100).startswith(b"HTTP/1.1 200")
 
 
-def test_operators_calls_in_a_crowd_that_came_while_the_process_was_paused(tmp_path: Path) -> None:
-    """Two dozen were taken in at a time, and the first made room for the last before they were read; who had
-    its answer made room before that was written."""
+def test_operators_calls_among_many_connections_during_a_pause_are_answered(tmp_path: Path) -> None:
+    """Two dozen connections were accepted in one turn; the first were evicted for the last before being read.
+
+    Connections that had been answered were evicted before the answer was written.
+    """
     control = free_address()
     with Program(tmp_path, [Backend("a")], control=control) as relay:
         relay.pause()
@@ -1162,18 +1179,18 @@
         assert [caller.answer()[0] for caller in callers] == [200] * 30
 
 
-def test_the_sweep_of_an_operators_drain_reads_first() -> None:
-    clock, swept = Clock(), []
+def test_the_final_sweep_of_out_of_service_reads_first() -> None:
+    clock, sweeps = Clock(), []
 
     def now() -> int:
         return round(clock.seconds() * SECOND)
 
     timers = Timers(clock, now)
     module = SimpleNamespace(tell=lambda *_: None, balancer=SimpleNamespace(stopping=None))
-    tunnels = SimpleNamespace(table=SimpleNamespace(used=1), end_all=lambda: swept.append(now()))
+    tunnels = SimpleNamespace(table=SimpleNamespace(used=1), end_all=lambda: sweeps.append(now()))
     service = ServiceState(timers, module, None, tunnels, None, SimpleNamespace(away=False))
     service.leave_service()
     clock.advance(5)
-    assert not swept, "answers may lie unread"
+    assert not sweeps, "answers may still be unread"
     clock.advance(0.002)
-    assert swept
+    assert sweeps
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,4 +1,4 @@
-"""True clients that are slow to write, in a crowd that connects and never finishes."""
+"""Legitimate clients that write slowly, among many connections that never complete a request."""
 
 from __future__ import annotations
 
@@ -14,46 +14,46 @@
 
 
 class Crowd:
-    """Strangers who connect by dozens, say a little, and stay for as long as they may."""
+    """Many connections that send part of a request, never complete it, and stay open as long as possible."""
 
-    def __init__(self, relay: Program, says: bytes) -> None:
+    def __init__(self, relay: Program, data: bytes) -> None:
         self.relay = relay
-        self.says = says
-        self.links: list[socket.socket] = []
+        self.data = data
+        self.sockets: list[socket.socket] = []
 
-    def come(self, many: int) -> None:
-        for _ in range(many):
+    def connect(self, count: int) -> None:
+        for _ in range(count):
             link = socket.socket()
             link.setblocking(False)
             with suppress(BlockingIOError):
                 link.connect(self.relay.address)
-            self.links.append(link)
+            self.sockets.append(link)
         time.sleep(0.02)
-        for link in self.links[-many:]:
+        for link in self.sockets[-count:]:
             with suppress(OSError):
-                link.send(self.says)
+                link.send(self.data)
 
 
-@mark.parametrize("says", [b"", b"PING\r\n", b"OPEN 0123", b"PING\r\nOPEN 01"])
-def test_a_slow_true_client_is_served_in_a_crowd(tmp_path: Path, says: bytes) -> None:
+@mark.parametrize("data", [b"", b"PING\r\n", b"OPEN 0123", b"PING\r\nOPEN 01"])
+def test_a_slow_legitimate_client_is_served_in_a_crowd(tmp_path: Path, data: bytes) -> None:
     with Program(tmp_path, [Backend("a")], limits=LIMITS) as relay:
-        crowd = Crowd(relay, says)
-        crowd.come(150)
+        crowd = Crowd(relay, data)
+        crowd.connect(150)
         slow = [relay.client() for _ in range(3)]
         for part in ("OPEN 00000000000000a%d ", "some", "-k", "ey c=f", "eed,d=1", "400,g=", "g1", "\r\n"):
             for number, client in enumerate(slow):
                 client.link.sendall((part % number if "%" in part else part).encode())
             until_next = time.monotonic() + 0.2
             while time.monotonic() < until_next:
-                crowd.come(10)
+                crowd.connect(10)
                 time.sleep(0.03)
         assert [client.hear() for client in slow] == ["UP r"] * 3
-        # One that is quick is served besides, and the crowd does not end the relay.
+        # A fast client is served too, and the relay survives the crowd.
         quick = relay.client()
         assert quick.open() == "UP r" and [client.say("M 1") for client in slow] == ["M 1"] * 3
 
 
-def test_who_gives_up_between_its_request_and_the_answer_leaves_nothing_behind(tmp_path: Path) -> None:
+def test_clients_that_leave_between_request_and_answer_free_their_slots(tmp_path: Path) -> None:
     backend = Backend("a", "hang")
     with Program(tmp_path, [backend], limits=LIMITS) as relay:
         for number in range(60):
@@ -66,16 +66,16 @@
         assert relay.client().open() == "UP r"
 
 
-def test_a_restart_in_a_crowd_moves_who_is_open_and_ends(tmp_path: Path) -> None:
+def test_a_relay_in_a_crowd_moves_open_connections_and_stops(tmp_path: Path) -> None:
     with Program(tmp_path, [Backend("a")], limits=LIMITS) as relay:
         crowd = Crowd(relay, b"OPEN 01")
         clients = [relay.client() for _ in range(8)]
         assert all(client.open(str(number)) == "UP r" for number, client in enumerate(clients))
-        crowd.come(150)
+        crowd.connect(150)
         relay.ask_to_stop()
         start = time.monotonic()
         for _ in range(5):
-            crowd.come(15)
+            crowd.connect(15)
         assert [client.hear() for client in clients] == ["MOVE"] * 8
-        # The platform kills it the longest client timeout, 1.5 s here, and 0.7 s after it asked.
+        # The platform kills it after the longest client time-out, 1.5 s here, plus 0.7 s.
         assert relay.process.wait(timeout=5) == 0 and time.monotonic() - start < 2.2
