--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""One process of a relay after the other, both real, on one listening socket."""
+"""Hot restart with real processes: one process of a relay after the other, on one listening socket."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class RestartableRelay(Program):
-    """A relay whose clients' socket is held by the platform, and whose processes come one after the other."""
+    """A relay whose listening socket the test holds, as the platform does, for several processes in turn."""
 
     def __init__(self, tmp: Path, backends: list[Backend], folder: str = "common", **other: object) -> None:
         self.folder = tmp / folder
@@ -60,8 +60,8 @@
         )
         self.processes.append(self.process)
 
-    def next(self) -> float:
-        """Starts one more, and says how long it took to be ready."""
+    def start_next(self) -> float:
+        """Starts the next process; returns the seconds until it was ready."""
         self.start()
         return until(self.ready, 6)
 
@@ -78,7 +78,7 @@
             process.wait()
         self.listening.close()
 
-    def said(self, text: str) -> bool:
+    def logged(self, text: str) -> bool:
         return text.encode() in self.log.read_bytes()
 
 
@@ -89,19 +89,19 @@
         yield relay
 
 
-class Stream:
-    """Clients that come throughout, one after the other; what came of each."""
+class ClientStream:
+    """Clients that connect one after the other all the time, with the answer that each got."""
 
     def __init__(self, relay: RestartableRelay) -> None:
         self.relay = relay
         self.answers: list[str] = []
         self.open: list[Client] = []
-        self.over = False
+        self.stopped = False
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
     def _run(self) -> None:
-        while not self.over:
+        while not self.stopped:
             try:
                 client = self.relay.client()
                 client.link.settimeout(3)
@@ -116,20 +116,21 @@
             time.sleep(0.01)
 
     def end(self) -> None:
-        self.over = True
+        self.stopped = True
         self.thread.join()
 
 
-def test_clients_who_come_throughout_are_all_served_and_those_before_are_moved(tmp_path: Path) -> None:
+def test_all_new_clients_are_served_and_open_connections_are_moved(tmp_path: Path) -> None:
     backend = Backend("a")
-    # A setup that lasts a tenth of a second may be tried again, and on a busy machine some do.
-    unhurried = SETTINGS | {
+    # With the default limits an attempt is repeated after a tenth of a second, which happens on a busy
+    # machine.
+    long_limits = SETTINGS | {
         "profiles": [
             row | {"setup_goal": 3_000_000, "client_timeout": 3_000_000} for row in SETTINGS["profiles"]
         ]
     }
-    with restartable_relay(tmp_path, backend, settings=unhurried) as relay:
-        stream = Stream(relay)
+    with restartable_relay(tmp_path, backend, settings=long_limits) as relay:
+        stream = ClientStream(relay)
         until(lambda: len(stream.answers) > 10)
         for old in range(2):
             before = []
@@ -137,22 +138,22 @@
                 before.append(relay.client())
                 assert before[-1].open() == "UP r"
             others = len(before) * (old + 1)
-            assert relay.next() < 6
+            assert relay.start_next() < 6
             count = len(stream.answers)
-            assert not relay.ready(old), "one of the two is the one that serves"
+            assert not relay.ready(old), "only one of the two processes reports ready"
             start = time.monotonic()
             relay.processes[old].terminate()
             assert [client.hear() for client in before] == ["MOVE"] * len(before)
             assert relay.processes[old].wait(timeout=4) == 0 and time.monotonic() - start < 3.7
             until(lambda count=count: len(stream.answers) > count + 20)
         stream.end()
-        assert set(stream.answers) == {"UP r"}, "nobody was turned back or lost"
-        assert len(backend.heads) == len(stream.answers) + others, "and nobody set up twice"
+        assert set(stream.answers) == {"UP r"}, "no client was rejected or lost"
+        assert len(backend.heads) == len(stream.answers) + others, "and none was set up twice"
 
 
 @contextmanager
-def reachable(path: Path) -> Iterator[str]:
-    """A socket's path by its folder's descriptor: of 107 bytes a test's folder alone may take more."""
+def short_path(path: Path) -> Iterator[str]:
+    """Gives a path by the folder's descriptor: the plain path may exceed the limit of 107 bytes."""
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -161,11 +162,11 @@
 
 
 def connect_to(link: socket.socket, path: Path) -> None:
-    with reachable(path) as name:
+    with short_path(path) as name:
         link.connect(name)
 
 
-def test_the_new_process_dies_before_it_serves_and_the_old_one_goes_on(tmp_path: Path) -> None:
+def test_the_old_process_goes_on_if_the_new_one_dies_before_it_serves(tmp_path: Path) -> None:
     with restartable_relay(tmp_path, Backend("a")) as relay:
         path = socket_path(relay.folder, "n0", relay.process.pid)
         assert path.stat().st_mode & 0o777 == 0o600
@@ -177,46 +178,46 @@
             waits = relay.client()
             waits.link.sendall(b"PING\r\n")
             time.sleep(0.3)
-            assert not relay.said("serves on"), "it waits in the system's queue"
+            assert not relay.logged("serves on"), "the client waits in the kernel's queue"
         assert waits.hear() == "PONG" and relay.ready()
-        # And one that lives on without a word: the lease ends.
+        # A process that stays connected and confirms nothing: the lease ends.
         with closing(socket.socket(socket.AF_UNIX)) as link:
             connect_to(link, path)
             link.sendall(json.dumps({"version": VERSION, "name": "n0"}).encode() + b"\n")
-            assert link.recv(1), "its answer has begun"
+            assert link.recv(1), "the answer has begun"
             start = time.monotonic()
             assert relay.client().say("PING") == "PONG" and 1 < time.monotonic() - start < 3
-        assert relay.next() < 6
+        assert relay.start_next() < 6
 
 
-def test_the_new_process_is_killed_after_it_took_over_and_the_old_one_takes_clients_in_again(
+def test_the_old_process_accepts_clients_again_if_the_new_one_is_killed_after_it_took_over(
     tmp_path: Path,
 ) -> None:
     with restartable_relay(tmp_path, Backend("a")) as relay:
-        assert relay.next() < 6 and not relay.ready(0)
+        assert relay.start_next() < 6 and not relay.ready(0)
         relay.process.kill()
         until(lambda: relay.ready(0))
         assert relay.client().open() == "UP r"
 
 
 @mark.parametrize("state", ["killed", "hung"])
-def test_without_a_process_before_that_answers_the_new_one_goes_on_alone(tmp_path: Path, state: str) -> None:
+def test_a_new_process_starts_alone_if_the_old_one_does_not_answer(tmp_path: Path, state: str) -> None:
     with restartable_relay(tmp_path, Backend("a")) as relay:
         relay.process.send_signal(signal.SIGKILL if state == "killed" else signal.SIGSTOP)
-        assert relay.next() < 6
+        assert relay.start_next() < 6
         assert relay.client().open() == "UP r"
-        assert relay.said("left over" if state == "killed" else "timed out")
+        assert relay.logged("left over" if state == "killed" else "timed out")
 
 
-def test_what_operators_tell_one_process_both_know(tmp_path: Path) -> None:
+def test_operators_calls_to_one_process_reach_both(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
     with restartable_relay(tmp_path, *backends) as relay:
         assert call(relay.controls[0], "POST", "/control/backends/a/offline") == 200
-        assert relay.next() < 6
+        assert relay.start_next() < 6
         old, new = relay.controls
         assert all(relay.client().open(str(key)) == "UP r" for key in range(8))
-        assert not backends[0].heads, "the ban has come over"
-        # To the old one, while both are there; and to the new one.
+        assert not backends[0].heads, "the new process knows that the backend is offline"
+        # Calls to the old process and to the new one, while both run.
         assert call(old, "POST", "/control/backends/b/offline") == 200
         assert relay.client().open("none") == "BUSY"
         assert call(new, "POST", "/control/backends/a/online") == 200
@@ -226,51 +227,53 @@
         relay.processes[0].terminate()
         assert relay.processes[0].wait(timeout=4) == 0
         assert relay.client().say("PING") == "ERR" and not relay.ready()
-        # One that takes over while out of service says yes, for the one before waits for that, and stays out.
-        assert relay.next() < 6
+        # A process that takes over while out of service reports ready, since the old one is stopped only
+        # then, and stays out of service.
+        assert relay.start_next() < 6
         assert relay.client().say("PING") == "ERR"
         assert call(relay.controls[-1], "POST", "/control/in-service") == 200
         assert relay.client().say("PING") == "PONG"
 
 
-def test_an_id_that_is_open_at_the_process_before_is_refused(tmp_path: Path) -> None:
+def test_a_connection_id_that_is_open_at_the_old_process_is_refused(tmp_path: Path) -> None:
     with restartable_relay(tmp_path, Backend("a")) as relay:
         client = relay.client()
         assert client.open() == "UP r"
-        assert relay.next() < 6
+        assert relay.start_next() < 6
         again = f"OPEN {client.id} k c=feed,d=1500,g=g1"
         assert relay.client().say(again) == "ERR"
         relay.processes[0].terminate()
         assert client.hear() == "MOVE"
         relay.processes[0].wait(timeout=4)
-        until(lambda: relay.said("the process before has ended"))
+        until(lambda: relay.logged("the previous process has ended"))
         assert relay.client().say(again) == "UP r"
 
 
-def test_a_drain_that_the_old_process_was_told_of_holds_at_the_new_one_from_its_start(tmp_path: Path) -> None:
+def test_a_drain_known_to_the_old_process_holds_at_the_new_one_from_its_start(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
     with restartable_relay(tmp_path, *backends) as relay:
         relay.discovery.tell(backends[0].entry("draining"))
         until(lambda: len(relay.discovery.calls) > 1)
-        # Discovery is deaf from here on, and what the new process was started with is older.
+        # Discovery fails from here on, and the configuration of the new process has the list before the
+        # drain.
         relay.discovery.broken = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-        assert relay.next() < 6
+        assert relay.start_next() < 6
         assert all(relay.client().open(str(key)) == "UP r" for key in range(8))
         assert not backends[0].heads
 
 
-def answer_nonsense(liar: socket.socket) -> None:
-    link, _ = liar.accept()
+def answer_nonsense(listener: socket.socket) -> None:
+    link, _ = listener.accept()
     with closing(link), link.makefile("rb") as lines:
-        # Closed over what it has not read it would reset the connection, its own answer with it.
+        # If closed with unread input the connection would be reset, and the answer lost.
         lines.readline()
         link.sendall(encode_message(version=VERSION, estate={}))
 
 
-def test_strangers_and_nonsense_on_the_way_between_processes_change_nothing(tmp_path: Path) -> None:
+def test_unknown_or_malformed_messages_between_processes_change_nothing(tmp_path: Path) -> None:
     with restartable_relay(tmp_path, Backend("a")) as relay:
         path = socket_path(relay.folder, "n0", relay.process.pid)
-        for said in (
+        for data in (
             b"\x00\xff\n",
             b"[1]\n",
             b'{"taken":true}\n',
@@ -284,45 +287,46 @@
             with closing(socket.socket(socket.AF_UNIX)) as link:
                 connect_to(link, path)
                 with suppress(OSError):
-                    link.sendall(said)
+                    link.sendall(data)
                     link.shutdown(socket.SHUT_WR)
                     assert b"estate" not in link.makefile("rb").read()
             assert relay.client().say("PING") == "PONG" and relay.ready()
-        # A left-over file of no process, and one that talks nonsense by the name of a process that is newer
-        # than the relay's, which is asked first.
+        # A left-over file of a process that has ended, and a socket that answers nonsense in the name of a
+        # process that started after the relay's and so is asked first.
         (relay.folder / path.name.replace(str(relay.process.pid), "1")).touch()
-        with closing(socket.socket(socket.AF_UNIX)) as liar, subprocess.Popen(["sleep", "60"]) as newer:
-            with reachable(relay.folder / path.name.replace(str(relay.process.pid), str(newer.pid))) as name:
-                liar.bind(name)
-            liar.listen()
-            threading.Thread(target=answer_nonsense, args=(liar,), daemon=True).start()
-            assert relay.next() < 6
+        with closing(socket.socket(socket.AF_UNIX)) as impostor, subprocess.Popen(["sleep", "60"]) as newer:
+            with short_path(relay.folder / path.name.replace(str(relay.process.pid), str(newer.pid))) as name:
+                impostor.bind(name)
+            impostor.listen()
+            threading.Thread(target=answer_nonsense, args=(impostor,), daemon=True).start()
+            assert relay.start_next() < 6
             newer.kill()
-        assert relay.said("not an estate") and relay.said("takes over")
+        assert relay.logged("not a hand-over state") and relay.logged("takes over")
 
 
-def test_sighup_is_followed_with_an_inherited_socket_too(tmp_path: Path) -> None:
+def test_sighup_takes_effect_with_an_inherited_socket_too(tmp_path: Path) -> None:
     with restartable_relay(tmp_path, Backend("a")) as relay:
-        assert relay.next() < 6
+        assert relay.start_next() < 6
         relay.reload()
-        until(lambda: relay.said("configuration read again"))
-        assert not relay.said("can't be used") and relay.client().open() == "UP r"
+        until(lambda: relay.logged("configuration read again"))
+        assert not relay.logged("can't be used") and relay.client().open() == "UP r"
 
 
-def test_descriptors_that_the_old_process_gives_back_are_the_new_ones(tmp_path: Path) -> None:
+def test_descriptors_that_the_old_process_frees_go_to_the_new_one(tmp_path: Path) -> None:
     limits = {"cores": 1.0, "memory_mb": 96, "sockets": 150}
     with restartable_relay(tmp_path, Backend("a"), limits=limits) as relay:
         held = [relay.client() for _ in range(22)]
         assert all(client.open(str(number)) == "UP r" for number, client in enumerate(held))
-        assert relay.next() < 6
-        # The two hold no more than one may, so the new one soon has no room, and takes nobody in.
-        mine: list[Client] = []
+        assert relay.start_next() < 6
+        # Both processes together hold no more than one may, so the new one soon has no slot and accepts
+        # nobody.
+        accepted: list[Client] = []
         answer = "UP r"
         while answer == "UP r":
-            assert len(mine) < 30
-            mine.append(relay.client())
-            answer = mine[-1].open(f"new{len(mine)}")
-        assert len(mine) > 3
+            assert len(accepted) < 30
+            accepted.append(relay.client())
+            answer = accepted[-1].open(f"new{len(accepted)}")
+        assert len(accepted) > 3
         both = sum(len(list(Path(f"/proc/{process.pid}/fd").iterdir())) for process in relay.processes)
         assert both <= 150
         relay.processes[0].terminate()
@@ -330,12 +334,12 @@
         until(lambda: relay.client().say("PING") == "PONG", 3)
 
 
-def test_a_folder_of_any_length_serves(tmp_path: Path) -> None:
+def test_a_folder_with_a_long_path_works(tmp_path: Path) -> None:
     with restartable_relay(tmp_path, Backend("a"), folder="x" * 120) as relay:
-        assert relay.next() < 6 and relay.said("takes over") and not relay.ready(0)
+        assert relay.start_next() < 6 and relay.logged("takes over") and not relay.ready(0)
 
 
-def test_an_estate_is_checked() -> None:
+def test_a_handover_state_is_checked() -> None:
     good = {
         "until": 1,
         "revision": None,
@@ -348,10 +352,10 @@
         "beliefs": {},
     }
 
-    def told(**other: object) -> bytes:
+    def message_with(**other: object) -> bytes:
         return json.dumps({"version": VERSION, "estate": good | other}).encode()
 
-    assert parse_handover_state(told()).banned == {"a": 1}
+    assert parse_handover_state(message_with()).banned == {"a": 1}
     for other in (
         {"until": "1"},
         {"revision": 1.5},
@@ -368,14 +372,14 @@
         {"more": 1},
     ):
         with raises(HandoverMessageError):
-            parse_handover_state(told(**other))
+            parse_handover_state(message_with(**other))
     with raises(HandoverMessageError):
         parse_handover_state(json.dumps({"version": VERSION + 1, "estate": good}).encode())
     with raises(HandoverMessageError):
-        parse_handover_state(told()[:-9])
+        parse_handover_state(message_with()[:-9])
 
 
-def test_a_bad_descriptor_is_one_line(tmp_path: Path) -> None:
+def test_a_bad_descriptor_gives_one_error_line(tmp_path: Path) -> None:
     with restartable_relay(tmp_path, Backend("a")) as relay, closing(socket.socket()) as idle:
         for bad in ("x", "999", "9" * 30, str(idle.fileno())):
             ended = subprocess.run(
@@ -390,20 +394,20 @@
             assert ended.returncode == 2 and ended.stderr.count("\n") == 1 and "LISTEN_FD" in ended.stderr
 
 
-def test_what_the_old_process_has_learned_goes_over_and_is_not_unlearned() -> None:
+def test_the_new_process_takes_over_what_the_old_one_has_learned_and_keeps_it() -> None:
     old = fleet(size=2, asked=None)
     kinds = Indices(["k"])
     teach(old)
-    told = json.loads(json.dumps(learned_state.export_state(old.balancer, kinds, old.now)))
+    learned = json.loads(json.dumps(learned_state.export_state(old.balancer, kinds, old.now)))
     new = fleet(size=2, asked=None, now=old.now)
     with raises(ValueError):
-        learned_state.import_state(new.balancer, kinds, told | {"loads": told["loads"][1:]}, new.now)
+        learned_state.import_state(new.balancer, kinds, learned | {"loads": learned["loads"][1:]}, new.now)
     with raises(ValueError):
-        learned_state.import_state(new.balancer, kinds, told | {"rate": -1.0}, new.now)
+        learned_state.import_state(new.balancer, kinds, learned | {"rate": -1.0}, new.now)
     assert not new.balancer.state.fill_rate and usual_load(new.balancer.state.loads, new.now, 0) == 0
-    learned_state.import_state(new.balancer, kinds, told, new.now)
+    learned_state.import_state(new.balancer, kinds, learned, new.now)
     assert usual_load(new.balancer.state.loads, new.now, 0) == approx(100)
-    # The clients are still at the old process, and the reports tell of them.
+    # The clients are still at the old process, and the backends' reports include them.
     for _ in range(10):
         new.now += 500 * MS
         for ep in range(2):
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -125,9 +125,9 @@
             until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
             client = Client(pair.address)
             assert client.open() == "UP r"
-            pair.next()
+            pair.start_next()
             # The process before still has the port and the name; the new one serves all the same.
-            until(lambda: pair.said("tried again each second"))
+            until(lambda: pair.logged("tried again each second"))
             assert Client(pair.address).open("k2") == "UP r"
             pair.processes[0].send_signal(signal.SIGTERM)
             until(lambda: pair.log.read_text().count("peers: on as n2") == 2, 10)
--- a/tests/test_terms_start.py
+++ b/tests/test_terms_start.py
@@ -1,4 +1,4 @@
-"""Relays that start at once before a discovery that bears few calls: each is ready, and each is answered."""
+"""Relays that start at once while discovery can serve few calls: all get ready, and all get the list."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 RELAYS = 230
 RELAYS_ON_SOCKETS = 20
-# The slowest discovery that sites may have: one call of each relay takes it so long, and it turns a call away
-# that would wait for longer than its time-out.
+# The slowest discovery that deployments may have: it needs ALL_CALLS_S for one call of each relay, and
+# rejects a call that would wait for longer than its time-out.
 ALL_CALLS_S, TIMEOUT_S = 8.0, 2.0
 READY_WITHIN_S, READY_SHARE = 10.0, 0.9
 STEP_S = 0.01
@@ -37,20 +37,20 @@
 
 class Transport(StringTransport):
     def setTcpNoDelay(self, on: bool) -> None:  # noqa: N802
-        """As a socket's."""
+        """Does nothing; a real transport has this method."""
 
     def abortConnection(self) -> None:  # noqa: N802
         self.disconnecting = True
 
 
 class VirtualRelay:
-    """The policy's law of list calls and the watch that makes them; nothing else of a relay."""
+    """The policy's timing of list calls and the Watch that makes them; nothing else of a relay."""
 
     def __init__(self, reactor: MemoryReactorClock, number: int) -> None:
         self.reactor = reactor
         self.timers = Timers(reactor, self.now)
         site = facts(now=self.now(), seed=number, me=number, relays=RELAYS, ask_every=10 * SECOND)
-        # Made before the policy, which may ask for the list in its first step.
+        # Created before the policy, which may ask for the list at once.
         self.watch_loop = Watch(
             reactor,
             self.timers,
@@ -87,7 +87,7 @@
 
 
 class VirtualCall(NamedTuple):
-    """A call that discovery has taken, and when it answers."""
+    """A call that discovery has accepted, and the time of its answer."""
 
     at: float
     number: int
@@ -96,13 +96,13 @@
 
 
 class VirtualDiscovery:
-    """One line of calls, each served in its turn. A watch that goes on costs nothing."""
+    """Serves first calls one after the other in a queue. Later calls of a watch cost nothing."""
 
     def __init__(self, reactor: MemoryReactorClock, up_at: float) -> None:
         self.reactor = reactor
         self.up_at = self.free_at = up_at
         self.connects_seen = 0
-        self.open: dict[DiscoveryLink, int] = {}  # by whose relay
+        self.open: dict[DiscoveryLink, int] = {}  # relay of each link
         self.served: set[DiscoveryLink] = set()
         self.calls: list[VirtualCall] = []
         self.numbers = count()
@@ -144,36 +144,38 @@
             call.link.dataReceived(http(json.dumps(LIST).encode()))
 
 
-def served_after(down_s: float) -> list[float]:
-    """Starts all relays at once, discovery down at first; when each was answered, after that was up."""
+def answer_delays(down_s: float) -> list[float]:
+    """Starts all relays at once; returns when each was answered, in seconds after discovery came up."""
     reactor = MemoryReactorClock()
     reactor.advance(1000)
     discovery = VirtualDiscovery(reactor, reactor.seconds() + down_s)
     relays = [VirtualRelay(reactor, number) for number in range(RELAYS)]
     while len(discovery.first_served) < len(relays):
-        assert reactor.seconds() < discovery.up_at + 60, "some are never answered"
+        assert reactor.seconds() < discovery.up_at + 60, "some relays are never answered"
         reactor.advance(STEP_S)
         discovery.step()
     return sorted(at - discovery.up_at for at in discovery.first_served.values())
 
 
 @mark.parametrize("down_s", [0.0, 8.0])
-def test_hundreds_of_relays_that_start_at_once_are_each_answered(down_s: float) -> None:
-    """In virtual time, by the policy's law of list calls and the real Watch. What discovery can do in all is
-    one call of each within 8 s, and nine in ten are answered after 7.2 to 7.3 s. Seen to fail (11.0 and
-    14.4 s) on a copy with RETRY_WITHIN at 400 s and the policy's waits from 12 s on, up to 60 s."""
-    served = served_after(down_s)
+def test_all_of_hundreds_of_relays_that_start_at_once_are_answered(down_s: float) -> None:
+    """In virtual time, with the policy's timing of list calls and the real Watch.
+
+    Discovery can serve one call of each relay within 8 s; nine in ten are answered after 7.2 to 7.3 s. The
+    test fails (11.0 and 14.4 s) on a copy with RETRY_WITHIN at 400 s and waits of the policy from 12 s up to
+    60 s.
+    """
+    served = answer_delays(down_s)
     assert served[int(READY_SHARE * RELAYS)] < READY_WITHIN_S
     assert served[-1] < 2 * ALL_CALLS_S
 
 
 class CrowdedDiscovery(Discovery):
-    """Answers nobody until it opens; then one first call after the other, and turns away who would wait too
-    long."""
+    """Rejects all calls until it opens; then serves first calls one by one, and rejects too long waits."""
 
     def __init__(self, members: list[dict]) -> None:
         self.opened = threading.Event()
-        self.turn = threading.Lock()
+        self.lock = threading.Lock()
         self.free_at = 0.0
         self.first_served: list[float] = []
         super().__init__(members)
@@ -182,13 +184,13 @@
         for line in lines:
             if line != b"\r\n":
                 continue
-            with self.turn:
+            with self.lock:
                 now = time.monotonic()
                 self.free_at = max(self.free_at, now)
-                takes = self.opened.is_set() and self.free_at - now <= TIMEOUT_S
-                if takes:
+                accepts = self.opened.is_set() and self.free_at - now <= TIMEOUT_S
+                if accepts:
                     self.free_at += ALL_CALLS_S / RELAYS_ON_SOCKETS
-            if not takes:
+            if not accepts:
                 link.sendall(BUSY)
                 continue
             time.sleep(max(0, self.free_at - time.monotonic()))
@@ -204,9 +206,12 @@
 
 
 def test_relays_that_start_at_once_are_ready_before_discovery_answers_any(tmp_path: Path) -> None:
-    """On sockets, as many as this machine bears. Ready takes no call, so it takes no longer than its process
-    needs to start; nine in ten are answered by a discovery that then serves one in 0.4 s. Seen to fail
-    with Relay.open called only once the list was heard."""
+    """On sockets, with as many relays as this machine can run.
+
+    Readiness needs no list call, so it takes no longer than the start of the process. Nine in ten relays are
+    answered by a discovery that then serves one call in 0.4 s. The test fails if Relay.open is called only
+    once the list has been received.
+    """
     backend = Backend("a")
     discovery = CrowdedDiscovery([backend.entry()])
     settings = SETTINGS | {"group_size": RELAYS_ON_SOCKETS}
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -235,7 +235,7 @@
         assert held.open() == "UP r"
         for by in steps:
             clock.step(by)
-            assert relay.next() < 6
+            assert relay.start_next() < 6
             assert relay.client().open() == "UP r"
             before = relay.processes[-2]
             before.terminate()
@@ -251,10 +251,10 @@
 def test_the_newest_process_is_asked_whatever_the_times_of_the_sockets_say(tmp_path: Path) -> None:
     """As a step back between the starts of the two leaves them."""
     with restartable_relay(tmp_path, Backend("a")) as relay:
-        assert relay.next() < 6
+        assert relay.start_next() < 6
         os.utime(socket_path(relay.folder, "n0", relay.processes[1].pid), (1, 1))
-        assert relay.next() < 6
-        assert not relay.said("asked again"), "the oldest was asked, which has handed over already"
+        assert relay.start_next() < 6
+        assert not relay.logged("asked again"), "the oldest was asked, which has handed over already"
 
 
 def test_what_one_process_knew_of_unix_time_goes_over_to_the_next() -> None:
