--- a/cedarledge/fleet.py
+++ b/cedarledge/fleet.py
@@ -34,7 +34,7 @@
         self._since = self._count = 0
         self.rate = 0.0
 
-    def arrived(self, now: int, tun: int, profile: int, returning: bool) -> None:
+    def arrived(self, now: int, tunnel_id: int, profile: int, returning: bool) -> None:
         self._count += 1
 
     def read(self, now: int) -> float:
--- a/cedarledge/net/backends.py
+++ b/cedarledge/net/backends.py
@@ -39,14 +39,20 @@
 class Watcher(Protocol):
     """Where the backends' side tells what comes of setups."""
 
-    def may_send(self, tun: int, ep: int) -> bool: ...
-    def client_waits(self, tun: int) -> int: ...
-    def client_has_left(self, tun: int) -> bool: ...
-    def setup_up(self, tun: int, line: bytes, took: int) -> None: ...
-    def lines_back(self, tun: int, lines: list[bytes]) -> None: ...
-    def garbled(self, tun: int) -> None: ...
+    def may_send(self, tunnel_id: int, backend_id: int) -> bool: ...
+    def client_waits(self, tunnel_id: int) -> int: ...
+    def client_has_left(self, tunnel_id: int) -> bool: ...
+    def setup_up(self, tunnel_id: int, line: bytes, took: int) -> None: ...
+    def lines_back(self, tunnel_id: int, lines: list[bytes]) -> None: ...
+    def garbled(self, tunnel_id: int) -> None: ...
     def setup_over(
-        self, tun: int, ep: int, outcome: Outcome, took: int, report: LoadReport | None, abrupt: bool
+        self,
+        tunnel_id: int,
+        backend_id: int,
+        outcome: Outcome,
+        took: int,
+        report: LoadReport | None,
+        abrupt: bool,
     ) -> None: ...
 
 
@@ -124,16 +130,16 @@
     def __init__(
         self,
         backends: Backends,
-        tun: int,
-        ep: int,
+        tunnel_id: int,
+        backend_id: int,
         address: Address,
         head: Callable[[int], bytes],
         timeout: int,
     ) -> None:
         super().__init__(backends.context, address)
         self.backends = backends
-        self.tun = tun
-        self.ep = ep
+        self.tunnel_id = tunnel_id
+        self.backend_id = backend_id
         self.head = head
         self.began = self.context.clock()
         self.give_up = self.began + timeout
@@ -142,13 +148,13 @@
 
     def came_up(self) -> None:
         left = self.give_up - self.context.clock()
-        if left <= 0 or not self.backends.watcher.may_send(self.tun, self.ep):
+        if left <= 0 or not self.backends.watcher.may_send(self.tunnel_id, self.backend_id):
             # The list may have told of a drain while this was connecting, and a send counts from its line.
             self.abort()
             self._settle(Outcome.NOT_SENT)
             return
         # The last setup's end is the client's answer, which is not put off.
-        spare = self.backends.watcher.client_waits(self.tun) - left
+        spare = self.backends.watcher.client_waits(self.tunnel_id) - left
         self.due_in(left, self._too_late, reads_first=spare > TURN)
         # As a pull producer it is asked once for the line, and once more when the system has taken what it
         # did not take at once.
@@ -158,7 +164,7 @@
         if not self.writing:
             line = self.head(self.give_up - self.context.clock())
             # Looked at last: where this process is paused in between, its client may leave meanwhile.
-            if self.backends.watcher.client_has_left(self.tun):
+            if self.backends.watcher.client_has_left(self.tunnel_id):
                 # Its end is read within this turn of the reactor, or the next, and this one called off then.
                 self.transport.unregisterProducer()
                 return
@@ -185,13 +191,13 @@
             self._answered(lines.pop(0))
         if lines and self.opened and not self.ending:
             self.last = self._ends(lines[-1])
-            self.backends.watcher.lines_back(self.tun, lines)
+            self.backends.watcher.lines_back(self.tunnel_id, lines)
 
     def _answered(self, line: bytes) -> None:
         if line.partition(b" ")[0] == b"UP":
             self.opened = True
             self.nothing_due()
-            self.backends.watcher.setup_up(self.tun, line, self.context.clock() - self.began)
+            self.backends.watcher.setup_up(self.tunnel_id, line, self.context.clock() - self.began)
             return
         # What none of the words fits is an error: it may have run.
         outcome, report = self._ends(line) or (Outcome.ERROR, None)
@@ -208,7 +214,7 @@
     def turn_out(self) -> None:
         if self.opened:
             # The backend still answers, so its client may not be cut off.
-            self.backends.watcher.garbled(self.tun)
+            self.backends.watcher.garbled(self.tunnel_id)
         else:
             super().turn_out()
 
@@ -231,17 +237,17 @@
         if not self.over:
             self.over = True
             self.backends.watcher.setup_over(
-                self.tun, self.ep, outcome, self.context.clock() - self.began, report, abrupt
+                self.tunnel_id, self.backend_id, outcome, self.context.clock() - self.began, report, abrupt
             )
 
 
 class ProbeLink(BackendLink):
     """The connection for one backend's probes, kept while it is used: a new one costs the backend more."""
 
-    def __init__(self, backends: Backends, ep: int, address: Address) -> None:
+    def __init__(self, backends: Backends, backend_id: int, address: Address) -> None:
         super().__init__(backends.context, address)
         self.backends = backends
-        self.ep = ep
+        self.backend_id = backend_id
         self.out = self.again = False
         self.kept = False  # it has answered before
         self.asked_at = 0
@@ -271,7 +277,7 @@
             return
         self.kept = True
         report = (read_report(rest, self.backends.reader) if rest else None) or LoadReport()
-        slower = self.backends.paces.slower(self.ep, self.context.clock() - self.asked_at)
+        slower = self.backends.paces.slower(self.backend_id, self.context.clock() - self.asked_at)
         if slower > 1 and not self.again:
             # A short pause of the backend looks the same, and is over by then.
             self.again = True
@@ -282,7 +288,7 @@
         if slower > 1 and report.asked is not None:
             # The report is older than what the probe itself has met.
             report = report._replace(asked=report.asked * slower)
-        self.backends.probe_over(self.ep, word == b"PONG", report)
+        self.backends.probe_over(self.backend_id, word == b"PONG", report)
 
     def _idle(self) -> None:
         self.backends.forget(self)
@@ -300,9 +306,9 @@
         if self.kept:
             # It was idle for longer than its backend bears, which closed it as the probe was on its way. That
             # says nothing of the backend; taken for silence it called a sound one busy for two seconds.
-            self.backends.probe(self.ep, self.address)
+            self.backends.probe(self.backend_id, self.address)
         else:
-            self.backends.probe_over(self.ep, False, LoadReport())
+            self.backends.probe_over(self.backend_id, False, LoadReport())
 
 
 class Backends:
@@ -333,40 +339,40 @@
 
     def set_up(
         self,
-        tun: int,
-        ep: int,
+        tunnel_id: int,
+        backend_id: int,
         address: Address,
         head: Callable[[int], bytes],
         timeout: int,
         connect_within: int,
     ) -> SetupLink:
-        link = SetupLink(self, tun, ep, address, head, timeout)
+        link = SetupLink(self, tunnel_id, backend_id, address, head, timeout)
         # Where it has no longer than that, its end may be the client's answer.
         link.connect(min(connect_within, timeout), reads_first=connect_within < timeout)
         return link
 
-    def probe(self, ep: int, address: Address) -> None:
-        link = self.probes.get(ep)
+    def probe(self, backend_id: int, address: Address) -> None:
+        link = self.probes.get(backend_id)
         if link is not None and link.address != address:
             self.forget(link)
             link.abort()
             link = None
         if link is None:
             try:
-                link = self.probes[ep] = ProbeLink(self, ep, address)
+                link = self.probes[backend_id] = ProbeLink(self, backend_id, address)
             except FullError:
                 # Told later, as the module is in the midst of asking, and as no news: the want of a slot is
                 # this relay's, and the backend may not be called busy for it.
-                self.context.timers.after(0, self.probe_over, ep, True, LoadReport())
+                self.context.timers.after(0, self.probe_over, backend_id, True, LoadReport())
                 return
         link.ask()
 
-    def no_probes(self, ep: int) -> None:
+    def no_probes(self, backend_id: int) -> None:
         """Not even a second question on a connection that is there."""
-        link = self.probes.get(ep)
+        link = self.probes.get(backend_id)
         if link is not None:
             link.turn_out()
 
     def forget(self, link: ProbeLink) -> None:
-        if self.probes.get(link.ep) is link:
-            del self.probes[link.ep]
+        if self.probes.get(link.backend_id) is link:
+            del self.probes[link.backend_id]
--- a/cedarledge/net/boxlist.py
+++ b/cedarledge/net/boxlist.py
@@ -28,7 +28,7 @@
     def __init__(self, module: Module, hearers: Hearers, settings: Mapping[str, Any]) -> None:
         self.module = module
         self.hearers = hearers
-        self.eps = Indices()
+        self.backend_ids = Indices()
         self.zones = Indices(settings.get("dcs"))
         self.kinds = Indices(settings.get("host_types"))
         self.addresses: dict[int, Address] = {}  # of all that a list has ever named
@@ -43,15 +43,15 @@
         """One entry in the module's terms. Raises KeyError, TypeError or ValueError for what is none."""
         # What the page does not name gets nothing new, as a draining one; the rest of the list still counts.
         standing = PHASES.get(told["phase"], BackendState.DRAINING)
-        ep = self.eps[told["id"]]
+        backend_id = self.backend_ids[told["id"]]
         if standing is not BackendState.GONE:
-            self.addresses[ep] = address_of(told["host_port"])
-        if standing is BackendState.READY and ep in self.banned:
+            self.addresses[backend_id] = address_of(told["host_port"])
+        if standing is BackendState.READY and backend_id in self.banned:
             standing = BackendState.DRAINING
         # One that was put back was started anew while it was out; the list may learn of that later.
-        started = max(self.start_of(ep, told), self.back.get(ep, 0))
+        started = max(self.start_of(backend_id, told), self.back.get(backend_id, 0))
         return Listed(
-            ep,
+            backend_id,
             int(told.get("cell") or 0),
             self.zones[told.get("locality")],
             self.kinds[told.get("flavor")],
@@ -102,29 +102,29 @@
     def set_aside(self, names: Collection[str]) -> None:
         """What the operator wants nothing new sent to. A box that is not on the list yet is known by its
         name."""
-        self.module.knows(aside=frozenset(self.eps[name] for name in names))
+        self.module.knows(aside=frozenset(self.backend_ids[name] for name in names))
 
     # -- what operators call -----------------------------------------------------------------------
 
     def known(self, name: str) -> int | None:
         """Whom a list has ever named; a ban may outlast its place there."""
-        ep = self.eps.get(name)
-        return ep if ep in self.addresses or ep in self.banned else None
+        backend_id = self.backend_ids.get(name)
+        return backend_id if backend_id in self.addresses or backend_id in self.banned else None
 
-    def ban(self, ep: int, now: int) -> None:
+    def ban(self, backend_id: int, now: int) -> None:
         """Nothing new goes there until it is put back, whatever any list says; twice is once."""
-        if self.banned.setdefault(ep, now) == now:
-            self._tell_again(ep)
+        if self.banned.setdefault(backend_id, now) == now:
+            self._tell_again(backend_id)
 
-    def put_back(self, ep: int, now: int) -> None:
-        since = self.banned.pop(ep, None)
+    def put_back(self, backend_id: int, now: int) -> None:
+        since = self.banned.pop(backend_id, None)
         if since is None:
             return
-        told = self.listed.get(ep)
-        if told is None or self.start_of(ep, told) <= since:
-            self.back[ep] = now
-        self._tell_again(ep)
-
-    def _tell_again(self, ep: int) -> None:
-        if ep in self.listed:
-            self.changed(ListForm.CHANGES, [self.entry(self.listed[ep])])
+        told = self.listed.get(backend_id)
+        if told is None or self.start_of(backend_id, told) <= since:
+            self.back[backend_id] = now
+        self._tell_again(backend_id)
+
+    def _tell_again(self, backend_id: int) -> None:
+        if backend_id in self.listed:
+            self.changed(ListForm.CHANGES, [self.entry(self.listed[backend_id])])
--- a/cedarledge/net/clients.py
+++ b/cedarledge/net/clients.py
@@ -104,7 +104,7 @@
         super().__init__(listener.context)
         self.taker = listener.taker
         self.listener = listener
-        self.tun = -1
+        self.tunnel_id = -1
         self.is_open = False
         self.owes_answer = False  # a whole request was read, and no word of an answer said
 
@@ -115,16 +115,16 @@
         self.due_in(FIRST_LINE_WITHIN, self.finish, reads_first=True)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self.tun >= 0 and not self.is_open and not self.ending:
+        if self.tunnel_id >= 0 and not self.is_open and not self.ending:
             self.bad_input("more before the answer")
         else:
             super().dataReceived(data)
-            if self.tun < 0 and self.lines.waiting and not self.ending:
+            if self.tunnel_id < 0 and self.lines.waiting and not self.ending:
                 self.listener.lives(self)
 
     def lines_came(self, lines: list[bytes]) -> None:
         if self.is_open:
-            self.taker.lines_on(self.tun, lines)
+            self.taker.lines_on(self.tunnel_id, lines)
         elif len(lines) > 1 or self.lines.waiting:
             # Looked at before the line is dealt with: a backend may not see one of which the client itself
             # makes nonsense.
@@ -145,20 +145,20 @@
         self.nothing_due()
         self.listener.keep(self)
         self.owes_answer = True
-        self.tun = self.taker.arrived(self, opening)
+        self.tunnel_id = self.taker.arrived(self, opening)
 
     def turn_out(self) -> None:
         if self.is_open:
             super().turn_out()
             return
-        if self.tun >= 0:
-            self.taker.client_ended(self.tun, abrupt=False)
+        if self.tunnel_id >= 0:
+            self.taker.client_ended(self.tunnel_id, abrupt=False)
         self.fail()
 
     def peer_ended(self, abrupt: bool) -> None:
         self.owes_answer = False  # there is nobody to have it
-        if self.tun >= 0:
-            self.taker.client_ended(self.tun, abrupt)
+        if self.tunnel_id >= 0:
+            self.taker.client_ended(self.tunnel_id, abrupt)
 
     def writeConnectionLost(self) -> None:  # noqa: N802
         self.listener.answered(self)
@@ -167,7 +167,7 @@
         super()._gone()
         self.listener.gone(self)
         if self.owes_answer:
-            self.context.invariants.broken(Invariant.CLOSED_UNANSWERED, f"tunnel {self.tun}")
+            self.context.invariants.broken(Invariant.CLOSED_UNANSWERED, f"tunnel {self.tunnel_id}")
 
     # -- the answers, each the last but opened ---------------------------------------------------
 
--- a/cedarledge/net/echoes.py
+++ b/cedarledge/net/echoes.py
@@ -23,19 +23,19 @@
         self._tell = tell
         self._told: dict[int, tuple[int, int]] = {}  # when, and how slow
 
-    def took(self, ep: int, delay: int) -> None:
+    def took(self, backend_id: int, delay: int) -> None:
         """Tells of a slow message, once a second for a backend and whenever that is twice as slow as told
         before, and of the first that is quick again."""
         if not self.slow:
             return
         now = self._clock()
         if delay >= self.slow:
-            at, before = self._told.get(ep, (0, 0))
+            at, before = self._told.get(backend_id, (0, 0))
             if now - at >= TELL_EVERY or delay >= 2 * before:
-                self._told[ep] = now, delay
-                self._tell(ep, delay)
-        elif self._told.pop(ep, None) is not None:
-            self._tell(ep, delay)
+                self._told[backend_id] = now, delay
+                self._tell(backend_id, delay)
+        elif self._told.pop(backend_id, None) is not None:
+            self._tell(backend_id, delay)
 
 
 class Echoes:
@@ -96,12 +96,12 @@
 class Echo:
     """The oldest line of one tunnel that has not been answered."""
 
-    __slots__ = ("_asked_at", "_due", "_echoes", "_ep", "_tun")
+    __slots__ = ("_asked_at", "_backend_id", "_due", "_echoes", "_tunnel_id")
 
-    def __init__(self, echoes: Echoes, tun: int, ep: int) -> None:
+    def __init__(self, echoes: Echoes, tunnel_id: int, backend_id: int) -> None:
         self._echoes = echoes
-        self._tun = tun
-        self._ep = ep
+        self._tunnel_id = tunnel_id
+        self._backend_id = backend_id
         self._asked_at = 0
         self._due: Timer | None = None
 
@@ -122,17 +122,17 @@
         if self._asked_at:
             delay = self._echoes.clock() - self._asked_at
             self.close()
-            self._echoes.delays.took(self._ep, delay)
+            self._echoes.delays.took(self._backend_id, delay)
 
     def overdue(self) -> None:
         """No answer yet: the first look, and those after it."""
         age = self._echoes.clock() - self._asked_at
         if age >= SILENT:
-            self._echoes.tell_silent(self._tun)
+            self._echoes.tell_silent(self._tunnel_id)
             return
         # A hang is told while it grows: a second later its clients have lost that second.
         self._due = self._echoes.timers.after_reading(min(age, TELL_EVERY, SILENT - age), self.overdue)
-        self._echoes.delays.took(self._ep, age)
+        self._echoes.delays.took(self._backend_id, age)
 
     def close(self) -> None:
         """The one place where what waits for its answer is given back."""
--- a/cedarledge/net/eventlog.py
+++ b/cedarledge/net/eventlog.py
@@ -26,42 +26,48 @@
                 "{} {}", event, " ".join(f"{name}={value}" for name, value in fields.items())
             )
 
-    def arrived(self, now: int, tun: int, profile: int, returning: bool) -> None:
+    def arrived(self, now: int, tunnel_id: int, profile: int, returning: bool) -> None:
         self._say(
-            "arrived", "tunnel.arrived", tunnel=tun, profile=self._profiles[profile], returning=returning
+            "arrived",
+            "tunnel.arrived",
+            tunnel=tunnel_id,
+            profile=self._profiles[profile],
+            returning=returning,
         )
 
-    def set_up(self, now: int, tun: int, ep: int, timeout: int) -> None:
-        self._say("setup", "tunnel.setup", tunnel=tun, backend=self._boxes[ep], timeout=timeout)
+    def set_up(self, now: int, tunnel_id: int, backend_id: int, timeout: int) -> None:
+        self._say("setup", "tunnel.setup", tunnel=tunnel_id, backend=self._boxes[backend_id], timeout=timeout)
 
-    def opened(self, now: int, tun: int, ep: int, took: int) -> None:
-        self._say("opened", "tunnel.opened", tunnel=tun, backend=self._boxes[ep], took=took)
+    def opened(self, now: int, tunnel_id: int, backend_id: int, took: int) -> None:
+        self._say("opened", "tunnel.opened", tunnel=tunnel_id, backend=self._boxes[backend_id], took=took)
 
-    def setup_over(self, now: int, tun: int, ep: int, outcome: Outcome, took: int, was_open: bool) -> None:
+    def setup_over(
+        self, now: int, tunnel_id: int, backend_id: int, outcome: Outcome, took: int, was_open: bool
+    ) -> None:
         self._say(
             "setup",
             "tunnel.setup_over",
-            tunnel=tun,
-            backend=self._boxes[ep],
+            tunnel=tunnel_id,
+            backend=self._boxes[backend_id],
             outcome=outcome.name.lower(),
             took=took,
             was_open=was_open,
         )
 
-    def answered(self, now: int, tun: int, declined: bool, took: int) -> None:
+    def answered(self, now: int, tunnel_id: int, declined: bool, took: int) -> None:
         self._say(
             "answered",
             "tunnel.answered",
-            tunnel=tun,
+            tunnel=tunnel_id,
             outcome="declined" if declined else "closed_with_error",
             took=took,
         )
 
-    def moved(self, now: int, tun: int, ep: int) -> None:
-        self._say("moved", "tunnel.moved", tunnel=tun, backend=self._boxes[ep])
+    def moved(self, now: int, tunnel_id: int, backend_id: int) -> None:
+        self._say("moved", "tunnel.moved", tunnel=tunnel_id, backend=self._boxes[backend_id])
 
-    def ended(self, now: int, tun: int, took: int) -> None:
-        self._say("ended", "tunnel.ended", tunnel=tun, took=took)
+    def ended(self, now: int, tunnel_id: int, took: int) -> None:
+        self._say("ended", "tunnel.ended", tunnel=tunnel_id, took=took)
 
     def listed(self, now: int, form: ListForm, entries: list[Listed]) -> None:
         if form is ListForm.UNAVAILABLE:
@@ -69,5 +75,7 @@
         else:
             self._say("list", "list.changed", form=form.name.lower(), entries=len(entries))
 
-    def probed(self, now: int, ep: int, answered: bool, report: LoadReport) -> None:
-        self._say("probe", "box.probed", backend=self._boxes[ep], answered=answered, asked=report.asked)
+    def probed(self, now: int, backend_id: int, answered: bool, report: LoadReport) -> None:
+        self._say(
+            "probe", "box.probed", backend=self._boxes[backend_id], answered=answered, asked=report.asked
+        )
--- a/cedarledge/net/handover.py
+++ b/cedarledge/net/handover.py
@@ -308,14 +308,14 @@
         logger.info("handover: goes on alone")
 
     def _follow(self, estate: Estate) -> None:
-        eps, shared_now = self.boxes.eps, time.monotonic_ns()
+        backend_ids, shared_now = self.boxes.backend_ids, time.monotonic_ns()
         own_offset = self.timers.now() - shared_now
         # The wall clock may have been stepped between the starts of the two.
         shift = 0 if estate.clock_offset is None else own_offset - estate.clock_offset
         if estate.unix_offset is not None:
             self.boxes.start_times.follow_unix_offset(estate.unix_offset, shared_now)
-        self.boxes.banned = {eps[name]: since + shift for name, since in estate.banned.items()}
-        self.boxes.back = {eps[name]: at + shift for name, at in estate.back.items()}
+        self.boxes.banned = {backend_ids[name]: since + shift for name, since in estate.banned.items()}
+        self.boxes.back = {backend_ids[name]: at + shift for name, at in estate.back.items()}
         self.boxes.take_in(ListForm.WHOLE, estate.members)
         beliefs.follow(self.boxes.module.balancer, self.boxes.kinds, estate.beliefs, self.timers.now())
         self.watching.go_on_from(estate.revision)
@@ -386,13 +386,13 @@
         self.listener.hold_back()
         # The other's word that it has taken over may lie unread where this process was paused.
         self._lease = self.timers.after_reading(LEASE, self._lapsed, peer)
-        names, shared_now = self.boxes.eps.names, time.monotonic_ns()
+        names, shared_now = self.boxes.backend_ids.names, time.monotonic_ns()
         estate = Estate(
             shared_now + LEASE,
             self.watching.revision,
             list(self.boxes.listed.values()),
-            {names[ep]: since for ep, since in self.boxes.banned.items()},
-            {names[ep]: at for ep, at in self.boxes.back.items()},
+            {names[backend_id]: since for backend_id, since in self.boxes.banned.items()},
+            {names[backend_id]: at for backend_id, at in self.boxes.back.items()},
             self.listener.away,
             sorted(self.tunnels.ids),
             self._held(),
--- a/cedarledge/net/module.py
+++ b/cedarledge/net/module.py
@@ -66,8 +66,8 @@
 
     # -- the rest of the host interface ------------------------------------------------------------
 
-    def probe(self, ep: int) -> None:
-        self.backends.probe(ep, self.boxes.addresses[ep])
+    def probe(self, backend_id: int) -> None:
+        self.backends.probe(backend_id, self.boxes.addresses[backend_id])
 
     def wake(self, delay: int, token: int) -> None:
         # The module takes the end of a look for its box's silence.
--- a/cedarledge/net/paces.py
+++ b/cedarledge/net/paces.py
@@ -20,10 +20,10 @@
         self._usual: dict[int, float] = {}
         self._latest: dict[int, float] = {}
 
-    def slower(self, ep: int, took: int) -> float:
+    def slower(self, backend_id: int, took: int) -> float:
         """How many times its usual time a probe took. Where all are slower the fleet is full, which the
         reports say; a backend counts as slower than the others alone."""
-        usual = self._usual.get(ep, took)
-        self._usual[ep] = min(took, usual * RISE)
-        self._latest[ep] = took / usual if took - usual > self.least else 1.0
-        return max(1.0, self._latest[ep] / median_low(self._latest.values()))
+        usual = self._usual.get(backend_id, took)
+        self._usual[backend_id] = min(took, usual * RISE)
+        self._latest[backend_id] = took / usual if took - usual > self.least else 1.0
+        return max(1.0, self._latest[backend_id] / median_low(self._latest.values()))
--- a/cedarledge/net/relay.py
+++ b/cedarledge/net/relay.py
@@ -198,17 +198,17 @@
 
     # -- what is heard of backends beside their tunnels --------------------------------------------
 
-    def delay_told(self, ep: int, delay: int) -> None:
-        logger.debug("a message takes {} ms at {}", delay // MS, self.boxes.eps.names[ep])
-        self.module.tell(self.module.balancer.delay_told, ep, delay)
+    def delay_told(self, backend_id: int, delay: int) -> None:
+        logger.debug("a message takes {} ms at {}", delay // MS, self.boxes.backend_ids.names[backend_id])
+        self.module.tell(self.module.balancer.delay_told, backend_id, delay)
 
-    def probe_over(self, ep: int, answered: bool, report: LoadReport) -> None:
-        logger.debug("probe of {}: {}, {}", self.boxes.eps.names[ep], answered, report)
+    def probe_over(self, backend_id: int, answered: bool, report: LoadReport) -> None:
+        logger.debug("probe of {}: {}, {}", self.boxes.backend_ids.names[backend_id], answered, report)
         if report.service_time is not None:
             # The clients' lines don't tell how long messages take; what a backend says of itself does.
-            self.reported.took(ep, int(report.service_time))
-        self.module.tell(self.module.balancer.probed, ep, answered, report)
-        self.hearers.tell("probed", ep, answered, report)
+            self.reported.took(backend_id, int(report.service_time))
+        self.module.tell(self.module.balancer.probed, backend_id, answered, report)
+        self.hearers.tell("probed", backend_id, answered, report)
 
     def listens(self, hearer: Hearer) -> None:
         """Adds a hearer that stays whatever the operator's file says later."""
@@ -249,7 +249,7 @@
         if wanted.log.events:
             from cedarledge.net.eventlog import EventLog
 
-            self.hearers.add(EventLog(wanted.log.events, list(self.profiles), self.boxes.eps.names))
+            self.hearers.add(EventLog(wanted.log.events, list(self.profiles), self.boxes.backend_ids.names))
         self.boxes.set_aside(wanted.boxes.aside)
 
     # -- the end ---------------------------------------------------------------------------------
--- a/cedarledge/net/seams.py
+++ b/cedarledge/net/seams.py
@@ -38,12 +38,12 @@
 
 
 class Taker(Protocol):
-    """Where a front takes what comes; tun is the handle that arrived gave, below 0 for one already
+    """Where a front takes what comes; tunnel_id is the handle that arrived gave, below 0 for one already
     answered."""
 
     def arrived(self, client: ClientEnd, opening: Opening) -> int: ...
-    def lines_on(self, tun: int, lines: list[bytes]) -> None: ...
-    def client_ended(self, tun: int, abrupt: bool) -> None: ...
+    def lines_on(self, tunnel_id: int, lines: list[bytes]) -> None: ...
+    def client_ended(self, tunnel_id: int, abrupt: bool) -> None: ...
 
 
 class Front(Protocol):
@@ -62,32 +62,34 @@
     """Told what happens, after it has. A method left as it is costs nothing. Times are ns, tunnels and boxes
     the relay's own numbers; what a method raises, or takes too long over, is its own loss."""
 
-    def arrived(self, now: int, tun: int, profile: int, returning: bool) -> None:
+    def arrived(self, now: int, tunnel_id: int, profile: int, returning: bool) -> None:
         """A client's request was taken."""
 
-    def set_up(self, now: int, tun: int, ep: int, timeout: int) -> None:
+    def set_up(self, now: int, tunnel_id: int, backend_id: int, timeout: int) -> None:
         """A setup goes out."""
 
-    def opened(self, now: int, tun: int, ep: int, took: int) -> None:
+    def opened(self, now: int, tunnel_id: int, backend_id: int, took: int) -> None:
         """A box has taken the tunnel, that long after the setup began."""
 
-    def setup_over(self, now: int, tun: int, ep: int, outcome: Outcome, took: int, was_open: bool) -> None:
+    def setup_over(
+        self, now: int, tunnel_id: int, backend_id: int, outcome: Outcome, took: int, was_open: bool
+    ) -> None:
         """A setup failed, or an open tunnel was ended by its box."""
 
-    def answered(self, now: int, tun: int, declined: bool, took: int) -> None:
+    def answered(self, now: int, tunnel_id: int, declined: bool, took: int) -> None:
         """The client was told no: BUSY, or else an error."""
 
-    def moved(self, now: int, tun: int, ep: int) -> None:
+    def moved(self, now: int, tunnel_id: int, backend_id: int) -> None:
         """An open tunnel's client was sent to come again."""
 
-    def ended(self, now: int, tun: int, took: int) -> None:
+    def ended(self, now: int, tunnel_id: int, took: int) -> None:
         """The tunnel's slot is given back, that long after it arrived; its number means another one from now
         on."""
 
     def listed(self, now: int, form: ListForm, entries: list[Listed]) -> None:
         """The list of boxes has changed, or was lost."""
 
-    def probed(self, now: int, ep: int, answered: bool, report: LoadReport) -> None:
+    def probed(self, now: int, backend_id: int, answered: bool, report: LoadReport) -> None:
         """A probe is over."""
 
 
--- a/cedarledge/net/service.py
+++ b/cedarledge/net/service.py
@@ -85,16 +85,16 @@
             self.module.tell(self.module.balancer.staying)
 
     def take_out(self, name: str) -> None:
-        ep = self._known(name)
+        backend_id = self._known(name)
         # The list's word first: whoever waits for a look at it is then placed elsewhere.
-        self.boxes.ban(ep, self.timers.now())
-        self.backends.no_probes(ep)
+        self.boxes.ban(backend_id, self.timers.now())
+        self.backends.no_probes(backend_id)
 
     def put_back(self, name: str) -> None:
         self.boxes.put_back(self._known(name), self.timers.now())
 
     def _known(self, name: str) -> int:
-        ep = self.boxes.known(name)
-        if ep is None:
+        backend_id = self.boxes.known(name)
+        if backend_id is None:
             raise UnknownError(name)
-        return ep
+        return backend_id
--- a/cedarledge/net/tunnels.py
+++ b/cedarledge/net/tunnels.py
@@ -87,7 +87,9 @@
         classes: Sequence[ProfileRow] = (),
     ) -> None:
         self.context = context
-        self.guard = RequestGuard(context.invariants, context.clock, classes, boxes.listed, boxes.eps.names)
+        self.guard = RequestGuard(
+            context.invariants, context.clock, classes, boxes.listed, boxes.backend_ids.names
+        )
         self.clock = context.clock
         self.timers = context.timers
         self.module = module
@@ -116,57 +118,64 @@
 
     # -- what the module has done ------------------------------------------------------------------
 
-    def send(self, tun: int, ep: int, timeout: int) -> None:
-        if not self.guard.may_attempt(self.table.get(tun).request, ep, ep in self.boxes.ready):
-            self._not_sent(tun, ep)
+    def send(self, tunnel_id: int, backend_id: int, timeout: int) -> None:
+        if not self.guard.may_attempt(
+            self.table.get(tunnel_id).request, backend_id, backend_id in self.boxes.ready
+        ):
+            self._not_sent(tunnel_id, backend_id)
             return
-        self._set_up(tun, ep, timeout, self.connect_within)
-        self.hearers.tell("set_up", tun, ep, timeout)
+        self._set_up(tunnel_id, backend_id, timeout, self.connect_within)
+        self.hearers.tell("set_up", tunnel_id, backend_id, timeout)
 
-    def _not_sent(self, tun: int, ep: int) -> None:
+    def _not_sent(self, tunnel_id: int, backend_id: int) -> None:
         """Tells the module once it is through with what it does now."""
-        self.timers.after(0, self.setup_over, tun, ep, Outcome.NOT_SENT, 0, None, False)
+        self.timers.after(0, self.setup_over, tunnel_id, backend_id, Outcome.NOT_SENT, 0, None, False)
 
-    def _set_up(self, tun: int, ep: int, timeout: int, connect_within: int) -> None:
-        tunnel = self.table.get(tun)
-        self.guard.attempt(tunnel.request, ep)
+    def _set_up(self, tunnel_id: int, backend_id: int, timeout: int, connect_within: int) -> None:
+        tunnel = self.table.get(tunnel_id)
+        self.guard.attempt(tunnel.request, backend_id)
         try:
             tunnel.setup = self.backends.set_up(
-                tun, ep, self.boxes.addresses[ep], tunnel.opening.head, timeout, connect_within
+                tunnel_id,
+                backend_id,
+                self.boxes.addresses[backend_id],
+                tunnel.opening.head,
+                timeout,
+                connect_within,
             )
         except FullError:
-            self._not_sent(tun, ep)
+            self._not_sent(tunnel_id, backend_id)
 
-    def decline(self, tun: int, come_back: int) -> None:
-        tunnel = self.table.get(tun)
+    def decline(self, tunnel_id: int, come_back: int) -> None:
+        tunnel = self.table.get(tunnel_id)
         if not self.guard.may_reject(tunnel.request):
-            self.close_with_error(tun)
+            self.close_with_error(tunnel_id)
             return
         tunnel.client.decline(come_back)
         self.context.rate_limited_log.about("rejected", lambda: self.guard.story(tunnel.request))
-        self._answered(tun, True)
+        self._answered(tunnel_id, True)
 
-    def close_with_error(self, tun: int) -> None:
-        tunnel = self.table.get(tun)
+    def close_with_error(self, tunnel_id: int) -> None:
+        tunnel = self.table.get(tunnel_id)
         tunnel.client.fail()
         self.context.rate_limited_log.about("failed", lambda: self.guard.story(tunnel.request))
-        self._answered(tun, False)
+        self._answered(tunnel_id, False)
 
-    def move(self, tun: int) -> None:
-        tunnel = self.table.get(tun)
+    def move(self, tunnel_id: int) -> None:
+        tunnel = self.table.get(tunnel_id)
         if tunnel is None or tunnel.over or not tunnel.up:
             return
         setup = tunnel.setup
-        logger.debug("tunnel {} is moved off {}", tun, self.boxes.eps.names[setup.ep])
+        logger.debug("tunnel {} is moved off {}", tunnel_id, self.boxes.backend_ids.names[setup.backend_id])
         self.refugees.add(self.clock(), -1)
         self._counts["moved"] += 1
         self._part(tunnel)
         tunnel.request.attempt_ended(Outcome.CANCELLED)
         tunnel.client.move()
         setup.call_off()
-        self.hearers.tell("moved", tun, setup.ep)
+        self.hearers.tell("moved", tunnel_id, setup.backend_id)
         # The module is in the midst of moving, so it hears of the end afterwards.
-        self.timers.after(0, self._moved, tun, setup.ep, self.clock() - setup.began)
+        self.timers.after(0, self._moved, tunnel_id, setup.backend_id, self.clock() - setup.began)
 
     # -- what the clients' side tells --------------------------------------------------------------
 
@@ -186,23 +195,23 @@
             return -1
         tunnel = Tunnel(client, opening, profile, tenant, self.clock())
         try:
-            tun = self.table.take(tunnel)
+            tunnel_id = self.table.take(tunnel)
         except FullError:
             self.context.rate_limited_log.about("client", "no slot is left for a tunnel")
             client.decline(0)
             return -1
         self.ids.add(opening.id)
         self._counts["taken"] += 1
-        self.hearers.tell("arrived", tun, profile, opening.returning)
+        self.hearers.tell("arrived", tunnel_id, profile, opening.returning)
         if opening.at is not None:
-            self._adopt(tun)
-            return tun
+            self._adopt(tunnel_id)
+            return tunnel_id
         tunnel.known = self.begun = True
         if opening.returning:
             self.refugees.add(self.clock(), 1)
         if not self.module.tell(
             self.module.balancer.tunnel_arrived,
-            tun,
+            tunnel_id,
             profile,
             tenant,
             opening.key,
@@ -211,25 +220,25 @@
             opening.hint,
             opening.returning,
         ):
-            self.abandon(tun)
-        return tun
+            self.abandon(tunnel_id)
+        return tunnel_id
 
-    def lines_on(self, tun: int, lines: list[bytes]) -> None:
-        tunnel = self.table.get(tun)
+    def lines_on(self, tunnel_id: int, lines: list[bytes]) -> None:
+        tunnel = self.table.get(tunnel_id)
         if tunnel is None or tunnel.over:
             return
         tunnel.setup.send_lines(lines)
         tunnel.echo.asked()
 
-    def client_ended(self, tun: int, abrupt: bool) -> None:
-        tunnel = self.table.get(tun)
+    def client_ended(self, tunnel_id: int, abrupt: bool) -> None:
+        tunnel = self.table.get(tunnel_id)
         if tunnel is None or tunnel.over:
             return
         setup, was_up = tunnel.setup, tunnel.up
         self._counts["left"] += 1
         self._part(tunnel)
         if tunnel.known and not was_up:
-            self.module.tell(self.module.balancer.client_gone, tun)
+            self.module.tell(self.module.balancer.client_gone, tunnel_id)
         if setup is not None:
             setup.call_off(abrupt)
             outcome = Outcome.CANCELLED if setup.written else Outcome.NOT_SENT
@@ -237,91 +246,94 @@
             if tunnel.known:
                 self.module.tell(
                     self.module.balancer.setup_ended,
-                    tun,
-                    setup.ep,
+                    tunnel_id,
+                    setup.backend_id,
                     True,
                     outcome,
                     self.clock() - setup.began,
                     None,
                 )
-        self._free(tun)
+        self._free(tunnel_id)
 
     # -- a connection that was open before ---------------------------------------------------------
 
-    def _adopt(self, tun: int) -> None:
+    def _adopt(self, tunnel_id: int) -> None:
         """Brings up a connection that was open before, at its own backend and no other."""
-        tunnel = self.table.get(tun)
+        tunnel = self.table.get(tunnel_id)
         if tunnel is None or tunnel.over:
             return
         age = self.clock() - tunnel.began
-        ep = self.boxes.eps.get(tunnel.opening.at)
-        if age >= ADOPT_WITHIN or ep in self.boxes.banned:
-            self.close_with_error(tun)
-        elif ep in self.boxes.addresses:
-            self._set_up(tun, ep, ADOPT_WITHIN - age, ADOPT_CONNECT_WITHIN)
+        backend_id = self.boxes.backend_ids.get(tunnel.opening.at)
+        if age >= ADOPT_WITHIN or backend_id in self.boxes.banned:
+            self.close_with_error(tunnel_id)
+        elif backend_id in self.boxes.addresses:
+            self._set_up(tunnel_id, backend_id, ADOPT_WITHIN - age, ADOPT_CONNECT_WITHIN)
         elif self.boxes.heard or age > UNKNOWN_FOR:
             # Nobody has such a backend. It may only be new since this relay's list was made.
-            self.close_with_error(tun)
+            self.close_with_error(tunnel_id)
         else:
             if age < ADOPT_AGAIN:
                 # The first call may be put off, as all relays start together; who waits for it may not.
                 self.module.watch()
-            self.timers.after(ADOPT_AGAIN, self._adopt, tun)
+            self.timers.after(ADOPT_AGAIN, self._adopt, tunnel_id)
 
     # -- what the backends' side tells -------------------------------------------------------------
 
-    def may_send(self, tun: int, ep: int) -> bool:
+    def may_send(self, tunnel_id: int, backend_id: int) -> bool:
         """Nothing new goes to a backend that drains; what was open there before goes nowhere else, and there
         only if operators have not taken it out."""
-        tunnel = self.table.get(tun)
+        tunnel = self.table.get(tunnel_id)
         return (
             tunnel is not None
-            and ep not in self.boxes.banned
-            and (ep in self.boxes.ready or not tunnel.known)
+            and backend_id not in self.boxes.banned
+            and (backend_id in self.boxes.ready or not tunnel.known)
         )
 
-    def client_waits(self, tun: int) -> int:
+    def client_waits(self, tunnel_id: int) -> int:
         """How long the client still waits for its answer, in ns; below 0: no longer."""
-        tunnel = self.table.get(tun)
+        tunnel = self.table.get(tunnel_id)
         return -1 if tunnel is None else tunnel.began + tunnel.opening.wait - WAY_BACK - self.clock()
 
-    def client_has_left(self, tun: int) -> bool:
-        tunnel = self.table.get(tun)
+    def client_has_left(self, tunnel_id: int) -> bool:
+        tunnel = self.table.get(tunnel_id)
         return tunnel is None or tunnel.client.peer_has_left()
 
-    def setup_up(self, tun: int, line: bytes, took: int) -> None:
-        tunnel = self.table.get(tun)
+    def setup_up(self, tunnel_id: int, line: bytes, took: int) -> None:
+        tunnel = self.table.get(tunnel_id)
         logger.debug(
-            "tunnel {} at {}: up after {} ms", tun, self.boxes.eps.names[tunnel.setup.ep], took // MS
+            "tunnel {} at {}: up after {} ms",
+            tunnel_id,
+            self.boxes.backend_ids.names[tunnel.setup.backend_id],
+            took // MS,
         )
         tunnel.up = True
         self._counts["opened"] += 1
         self.guard.answered(tunnel.request, "UP")
         setup, client = tunnel.setup, tunnel.client
-        tunnel.echo = Echo(self.echoes, tun, setup.ep)
+        tunnel.echo = Echo(self.echoes, tunnel_id, setup.backend_id)
         client.opened(line)
         # A side that reads slowly holds up the other one's reading, not this relay's memory.
         client.transport.registerProducer(setup.transport, True)
         setup.transport.registerProducer(client.transport, True)
         if tunnel.known:
-            self.module.tell(self.module.balancer.opened, tun, took)
+            self.module.tell(self.module.balancer.opened, tunnel_id, took)
         else:
             opening = tunnel.opening
             tunnel.known = True
             self.module.tell(
                 self.module.balancer.adopted,
-                tun,
+                tunnel_id,
                 tunnel.profile,
                 tunnel.tenant,
                 opening.key,
                 opening.group,
-                setup.ep,
+                setup.backend_id,
                 opening.hint,
             )
-        self.hearers.tell("opened", tun, setup.ep, took)
+        self.hearers.tell("opened", tunnel_id, setup.backend_id, took)
 
-    def lines_back(self, tun: int, lines: list[bytes]) -> None:
-        tunnel = self.table.get(tun)
+    def lines_back(self, tunnel_id: int, lines: list[bytes]) -> None:
+        tunnel = self.table.get(tunnel_id)
         if tunnel is None or tunnel.over:
             return
         tunnel.client.send_lines(lines)
@@ -334,20 +346,28 @@
             except ValueError:
                 self.context.rate_limited_log.about("backend", f"no load: {line[:80]!r}")
                 continue
-            self.module.tell(self.module.balancer.load_told, tun, load)
+            self.module.tell(self.module.balancer.load_told, tunnel_id, load)
 
     def setup_over(
-        self, tun: int, ep: int, outcome: Outcome, took: int, report: LoadReport | None, abrupt: bool
+        self,
+        tunnel_id: int,
+        backend_id: int,
+        outcome: Outcome,
+        took: int,
+        report: LoadReport | None,
+        abrupt: bool,
     ) -> None:
-        tunnel = self.table.get(tun)
+        tunnel = self.table.get(tunnel_id)
         if tunnel is None:
             # No slot was found for it, and its client has left since. The module counts it still.
-            self.module.tell(self.module.balancer.setup_ended, tun, ep, True, outcome, took, report)
+            self.module.tell(
+                self.module.balancer.setup_ended, tunnel_id, backend_id, True, outcome, took, report
+            )
             return
         logger.debug(
             "tunnel {} at {}: {} after {} ms, up {}",
-            tun,
-            self.boxes.eps.names[ep],
+            tunnel_id,
+            self.boxes.backend_ids.names[backend_id],
             outcome.name,
             took // MS,
             tunnel.up,
@@ -355,7 +375,7 @@
         was_open = tunnel.up
         tunnel.request.attempt_ended(outcome)
         self._part(tunnel, over=was_open)
-        self.hearers.tell("setup_over", tun, ep, outcome, took, was_open)
+        self.hearers.tell("setup_over", tunnel_id, backend_id, outcome, took, was_open)
         if was_open:
             if outcome is not Outcome.DONE:
                 self.refugees.add(self.clock(), -1)
@@ -367,30 +387,34 @@
             # Where others have come already the run has begun, which it does not while one of these waits:
             # only a stranger asks now, and is not to hold a slot and press a backend for as long.
             if outcome in (Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.NOT_SENT) and not self.begun:
-                self.timers.after(ADOPT_AGAIN, self._adopt, tun)
+                self.timers.after(ADOPT_AGAIN, self._adopt, tunnel_id)
             else:
-                self.close_with_error(tun)
+                self.close_with_error(tunnel_id)
             return
-        if not self.module.tell(self.module.balancer.setup_ended, tun, ep, was_open, outcome, took, report):
-            self.abandon(tun)
+        if not self.module.tell(
+            self.module.balancer.setup_ended, tunnel_id, backend_id, was_open, outcome, took, report
+        ):
+            self.abandon(tunnel_id)
         if was_open:
-            self._free(tun)
+            self._free(tunnel_id)
 
-    def garbled(self, tun: int) -> None:
+    def garbled(self, tunnel_id: int) -> None:
         """Its backend's lines can't be passed on, so the client is better off elsewhere."""
-        self.move(tun)
+        self.move(tunnel_id)
 
-    def silent(self, tun: int) -> None:
-        tunnel = self.table.get(tun)
+    def silent(self, tunnel_id: int) -> None:
+        tunnel = self.table.get(tunnel_id)
         self._counts["silent"] += 1
         logger.info("silent: {}", self.guard.story(tunnel.request))
-        self.module.tell(self.module.balancer.silent, tun)
+        self.module.tell(self.module.balancer.silent, tunnel_id)
 
     # -- the end of a tunnel -----------------------------------------------------------------------
 
-    def _moved(self, tun: int, ep: int, took: int) -> None:
-        self.module.tell(self.module.balancer.setup_ended, tun, ep, True, Outcome.CANCELLED, took, None)
-        self._free(tun)
+    def _moved(self, tunnel_id: int, backend_id: int, took: int) -> None:
+        self.module.tell(
+            self.module.balancer.setup_ended, tunnel_id, backend_id, True, Outcome.CANCELLED, took, None
+        )
+        self._free(tunnel_id)
 
     def _part(self, tunnel: Tunnel, over: bool = True) -> None:
         """The tunnel lets go of its setup, and with over of all else but its slot."""
@@ -399,45 +423,45 @@
         if over and tunnel.echo is not None:
             tunnel.echo.close()
 
-    def _answered(self, tun: int, declined: bool) -> None:
+    def _answered(self, tunnel_id: int, declined: bool) -> None:
         """The final answer is out. The module gives it only when no setup is."""
-        tunnel = self.table.get(tun)
+        tunnel = self.table.get(tunnel_id)
         self._counts["rejected" if declined else "failed"] += 1
         self.guard.answered(tunnel.request, "BUSY" if declined else "ERR")
         self._part(tunnel)
-        self.hearers.tell("answered", tun, declined, self.clock() - tunnel.began)
-        self._free(tun)
+        self.hearers.tell("answered", tunnel_id, declined, self.clock() - tunnel.began)
+        self._free(tunnel_id)
 
-    def abandon(self, tun: int) -> None:
+    def abandon(self, tunnel_id: int) -> None:
         """The module failed on this tunnel: its client still gets an answer."""
-        tunnel = self.table.get(tun)
+        tunnel = self.table.get(tunnel_id)
         if tunnel is not None and not tunnel.over:
             self.guard.answered(tunnel.request, "ERR")
-            self.client_ended(tun, abrupt=False)
+            self.client_ended(tunnel_id, abrupt=False)
             tunnel.client.fail()
 
     def answer_waiting(self) -> None:
         """The module failed, on which tunnels is not known: all that have no setup out, and wait for it
         alone."""
-        for tun in self.table.handles():
-            tunnel = self.table.get(tun)
+        for tunnel_id in self.table.handles():
+            tunnel = self.table.get(tunnel_id)
             # Each answer tells the module of its client's end, and it may fail on that too.
             if tunnel is not None and tunnel.known and tunnel.setup is None:
-                self.abandon(tun)
+                self.abandon(tunnel_id)
 
     def end_all(self) -> None:
         """What is still held would be cut off, so it gets its answer or its MOVE."""
-        for tun in self.table.handles():
-            tunnel = self.table.get(tun)
+        for tunnel_id in self.table.handles():
+            tunnel = self.table.get(tunnel_id)
             # The module may fail on one of them, and then all that waited have been answered already.
             if tunnel is not None and tunnel.up:
-                self.move(tun)
+                self.move(tunnel_id)
             elif tunnel is not None:
-                self.abandon(tun)
+                self.abandon(tunnel_id)
 
-    def _free(self, tun: int) -> None:
+    def _free(self, tunnel_id: int) -> None:
         """The one place where a tunnel's slot and its id are given back."""
-        tunnel = self.table.get(tun)
-        self.hearers.tell("ended", tun, self.clock() - tunnel.began)
+        tunnel = self.table.get(tunnel_id)
+        self.hearers.tell("ended", tunnel_id, self.clock() - tunnel.began)
         self.ids.remove(tunnel.opening.id)
-        self.table.give_back(tun)
+        self.table.give_back(tunnel_id)
--- a/cedarledge/wirehost/wire.py
+++ b/cedarledge/wirehost/wire.py
@@ -26,12 +26,12 @@
     def __init__(self, relay: int, out: list, settings: dict, seed: int, now: int) -> None:
         self.relay = relay
         self.out = out
-        self.eps = Indices()
-        self.tun_ids: dict[int, int] = {}  # tunnel to wide id
-        self.tuns: dict[int, int] = {}  # wide id to tunnel
-        self.out_setups: dict[int, int] = {}  # tunnel to setups without a verdict yet
+        self.backend_ids = Indices()
+        self.wire_ids: dict[int, int] = {}  # tunnel to wide id
+        self.connection_ids: dict[int, int] = {}  # wide id to tunnel
+        self.running_attempts: dict[int, int] = {}  # tunnel to setups without a verdict yet
         self.closed: set[int] = set()
-        self.next_tun = 0
+        self.next_connection_id = 0
         self.zones = Indices(settings.get("dcs"))
         self.kinds = Indices(settings.get("host_types"))
         self.profiles = Indices([row["name"] for row in settings.get("profiles") or ()])
@@ -42,23 +42,31 @@
 
     # -- the host interface ------------------------------------------------------------------
 
-    def send(self, tun: int, ep: int, timeout: int) -> None:
-        self.out_setups[tun] += 1
-        self.out.append(["relay", self.relay, self.tun_ids[tun], self.eps.names[ep], timeout // US])
+    def send(self, connection_id: int, backend_id: int, timeout: int) -> None:
+        self.running_attempts[connection_id] += 1
+        self.out.append(
+            [
+                "relay",
+                self.relay,
+                self.wire_ids[connection_id],
+                self.backend_ids.names[backend_id],
+                timeout // US,
+            ]
+        )
 
-    def decline(self, tun: int, come_back: int) -> None:
-        self.out.append(["turn_away", self.relay, self.tun_ids[tun], come_back // US])
-        self._over(tun)
+    def decline(self, connection_id: int, come_back: int) -> None:
+        self.out.append(["turn_away", self.relay, self.wire_ids[connection_id], come_back // US])
+        self._over(connection_id)
 
-    def close_with_error(self, tun: int) -> None:
-        self.out.append(["lose", self.relay, self.tun_ids[tun]])
-        self._over(tun)
+    def close_with_error(self, connection_id: int) -> None:
+        self.out.append(["lose", self.relay, self.wire_ids[connection_id]])
+        self._over(connection_id)
 
-    def move(self, tun: int) -> None:
-        self.out.append(["shift", self.relay, self.tun_ids[tun]])
+    def move(self, connection_id: int) -> None:
+        self.out.append(["shift", self.relay, self.wire_ids[connection_id]])
 
-    def probe(self, ep: int) -> None:
-        self.out.append(["poll", self.relay, self.eps.names[ep]])
+    def probe(self, backend_id: int) -> None:
+        self.out.append(["poll", self.relay, self.backend_ids.names[backend_id]])
 
     def wake(self, delay: int, token: int) -> None:
         self.out.append(["timer", self.relay, delay // US, token])
@@ -71,22 +79,22 @@
 
     # -- events ------------------------------------------------------------------------------
 
-    def _enter(self, wide_id: int) -> int:
-        tun = self.next_tun
-        self.next_tun += 1
-        self.tuns[wide_id] = tun
-        self.tun_ids[tun] = wide_id
-        self.out_setups[tun] = 0
-        return tun
+    def _enter(self, wire_id: int) -> int:
+        connection_id = self.next_connection_id
+        self.next_connection_id += 1
+        self.connection_ids[wire_id] = connection_id
+        self.wire_ids[connection_id] = wire_id
+        self.running_attempts[connection_id] = 0
+        return connection_id
 
-    def _over(self, tun: int) -> None:
-        self.closed.add(tun)
-        self._forget(tun)
+    def _over(self, connection_id: int) -> None:
+        self.closed.add(connection_id)
+        self._forget(connection_id)
 
-    def _forget(self, tun: int) -> None:
-        if tun in self.closed and not self.out_setups[tun]:
-            self.closed.discard(tun)
-            del self.tuns[self.tun_ids.pop(tun)], self.out_setups[tun]
+    def _forget(self, connection_id: int) -> None:
+        if connection_id in self.closed and not self.running_attempts[connection_id]:
+            self.closed.discard(connection_id)
+            del self.connection_ids[self.wire_ids.pop(connection_id)], self.running_attempts[connection_id]
 
     def _profile(self, name: str) -> int:
         index = self.profiles[name]
@@ -97,16 +105,16 @@
     def endpoints(self, now: int, form: str, _serial: Any = None, entries: Any = None) -> None:
         listed = [
             Listed(
-                self.eps[ep],
+                self.backend_ids[backend],
                 cluster,
                 self.zones[site],
                 self.kinds[family],
                 float(weight or 0),
                 STANDINGS[readiness],
                 (launched or 0) * US,
-                mark_of(ep),
+                mark_of(backend),
             )
-            for cluster, site, readiness, family, weight, ep, launched in (
+            for cluster, site, readiness, family, weight, backend, launched in (
                 (*entry, None) if len(entry) == 6 else entry for entry in entries or ()
             )
         ]
@@ -150,23 +158,23 @@
         project: Any = None,
         type_: str = "",
     ) -> None:
-        tun = self._enter(msg_id)
-        self.out_setups[tun] = 1
+        connection_id = self._enter(msg_id)
+        self.running_attempts[connection_id] = 1
         self.balancer.adopted(
             now,
-            tun,
+            connection_id,
             self._profile(type_),
             self.tenants[project] if project else None,
             resource,
             room,
-            self.eps[backend],
+            self.backend_ids[backend],
             work_hint if marks and marks & 1 else None,
         )
 
     def started(self, now: int, msg_id: int, _shot: int, cost_time: int, _backend: str) -> None:
-        tun = self.tuns.get(msg_id)
-        if tun is not None:
-            self.balancer.opened(now, tun, cost_time * US)
+        connection_id = self.connection_ids.get(msg_id)
+        if connection_id is not None:
+            self.balancer.opened(now, connection_id, cost_time * US)
 
     def verdict(
         self,
@@ -179,36 +187,38 @@
         cost_time: int,
         server_stats: Any = None,
     ) -> None:
-        tun = self.tuns.get(msg_id)
-        if tun is None:
+        connection_id = self.connection_ids.get(msg_id)
+        if connection_id is None:
             return
         outcome = OUTCOMES[how]
-        self.out_setups[tun] -= 1
+        self.running_attempts[connection_id] -= 1
         if ended:
-            self.closed.add(tun)
+            self.closed.add(connection_id)
         report = self.read_report(server_stats) if server_stats else None
-        self.balancer.setup_ended(now, tun, self.eps[backend], bool(ended), outcome, cost_time * US, report)
-        if tun in self.out_setups:
-            self._forget(tun)
+        self.balancer.setup_ended(
+            now, connection_id, self.backend_ids[backend], bool(ended), outcome, cost_time * US, report
+        )
+        if connection_id in self.running_attempts:
+            self._forget(connection_id)
 
     def hint_update(self, now: int, msg_id: int, _shot: int, backend: str, kind: int, amount: float) -> None:
-        tun = self.tuns.get(msg_id)
-        if tun is None:
+        connection_id = self.connection_ids.get(msg_id)
+        if connection_id is None:
             return
         if kind == 1:
-            self.balancer.load_told(now, tun, amount)
+            self.balancer.load_told(now, connection_id, amount)
         elif kind == 2:
-            self.balancer.delay_told(now, self.eps[backend], int(amount * 1_000_000))
+            self.balancer.delay_told(now, self.backend_ids[backend], int(amount * 1_000_000))
 
     def expired(self, now: int, msg_id: int) -> None:
-        tun = self.tuns.get(msg_id)
-        if tun is not None and tun not in self.closed:
-            self.balancer.client_gone(now, tun)
-            self._over(tun)
+        connection_id = self.connection_ids.get(msg_id)
+        if connection_id is not None and connection_id not in self.closed:
+            self.balancer.client_gone(now, connection_id)
+            self._over(connection_id)
 
     def status_back(self, now: int, backend: str, how: str, _cost_time: int = 0, stats: Any = None) -> None:
         report = self.read_report(stats) if stats else LoadReport()
-        self.balancer.probed(now, self.eps[backend], OUTCOMES[how] is Outcome.DONE, report)
+        self.balancer.probed(now, self.backend_ids[backend], OUTCOMES[how] is Outcome.DONE, report)
 
     def elapsed(self, now: int, token: int) -> None:
         self.balancer.woke(now, token)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -114,11 +114,11 @@
                 # It fails there, and goes elsewhere as long as there is somewhere.
                 ledger.end(tun, Outcome.FULL)
         new = ledger.sends[sends:]
-        assert not {boxes.eps.names[ep] for _, _, ep in new} & banned
-        assert not {boxes.eps.names[ep] for _, ep in ledger.probes[probes:]} & banned
+        assert not {boxes.backend_ids.names[ep] for _, _, ep in new} & banned
+        assert not {boxes.backend_ids.names[ep] for _, ep in ledger.probes[probes:]} & banned
         # What is not banned, and up, is never lost by it.
         for ep, entry in ledger.listing.items():
-            assert boxes.eps.names[ep] not in banned or entry.standing is not BackendState.READY
+            assert boxes.backend_ids.names[ep] not in banned or entry.standing is not BackendState.READY
 
 
 def test_a_ban_on_all_is_followed_where_a_list_of_all_to_set_aside_is_not() -> None:
@@ -212,7 +212,7 @@
     ledger = site.ledger
     tun = ledger.arrive(key="k")
     ep = ledger.sends[-1][2]
-    site.ban(site.boxes.eps.names[ep])
+    site.ban(site.boxes.backend_ids.names[ep])
     # The host asks once more before it writes (Tunnels.may_send), and says that it was not sent.
     assert ep not in site.boxes.ready
     ledger.end(tun, Outcome.NOT_SENT)
--- a/tests/test_tunnels.py
+++ b/tests/test_tunnels.py
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         self.transport = Transport()
         self.said: list[str] = []
-        self.tun = -1
+        self.tunnel_id = -1
 
     def peer_has_left(self) -> bool:
         return "LEFT" in self.said
@@ -71,8 +71,8 @@
 
 
 class SetupStub:
-    def __init__(self, ep: int, began: int) -> None:
-        self.ep = ep
+    def __init__(self, backend_id: int, began: int) -> None:
+        self.backend_id = backend_id
         self.began = began
         self.written = False
         self.over = False
@@ -91,10 +91,10 @@
     def __init__(self) -> None:
         self.came = self.went = 0
 
-    def arrived(self, now: int, tun: int, profile: int, returning: bool) -> None:
+    def arrived(self, now: int, tunnel_id: int, profile: int, returning: bool) -> None:
         self.came += 1
 
-    def ended(self, now: int, tun: int, took: int) -> None:
+    def ended(self, now: int, tunnel_id: int, took: int) -> None:
         self.went += 1
         raise RuntimeError("a hearer that fails each time")
 
@@ -135,9 +135,9 @@
         self.clients: list[Client] = []
         self.full = False
         self.module.start(facts(now=self.now()), Broken if broken else Balancer)
-        entries = [listed(ep, cells=2) for ep in range(BOXES)]
+        entries = [listed(backend_id, cells=2) for backend_id in range(BOXES)]
         for entry in entries:
-            self.boxes.addresses[self.boxes.eps[f"s-{entry.ep}"]] = ("127.0.0.1", 1)
+            self.boxes.addresses[self.boxes.backend_ids[f"s-{entry.ep}"]] = ("127.0.0.1", 1)
         self.listing = {entry.ep: entry for entry in entries}
         self.boxes.changed(ListForm.RESTORED, entries)
 
@@ -146,23 +146,25 @@
 
     # -- what the module's host and the tunnels ask of others --------------------------------------
 
-    def set_up(self, tun: int, ep: int, address: Any, head: Any, timeout: int, within: int) -> SetupStub:
-        assert tun not in self.out, "two setups of one tunnel at once"
+    def set_up(
+        self, tunnel_id: int, backend_id: int, address: Any, head: Any, timeout: int, within: int
+    ) -> SetupStub:
+        assert tunnel_id not in self.out, "two setups of one tunnel at once"
         if self.full:
             raise FullError
-        self.out[tun] = SetupStub(ep, self.now())
-        self.timers.after(timeout, self._too_late, tun, self.out[tun])
-        return self.out[tun]
+        self.out[tunnel_id] = SetupStub(backend_id, self.now())
+        self.timers.after(timeout, self._too_late, tunnel_id, self.out[tunnel_id])
+        return self.out[tunnel_id]
 
-    def probe(self, ep: int, address: Any) -> None:
+    def probe(self, backend_id: int, address: Any) -> None:
         """Never answered: looks run out."""
 
     def start(self) -> None:
         """Discovery."""
 
-    def _too_late(self, tun: int, setup: SetupStub) -> None:
-        if self.out.get(tun) is setup and not setup.over:
-            self.ends(tun, Outcome.TIMEOUT)
+    def _too_late(self, tunnel_id: int, setup: SetupStub) -> None:
+        if self.out.get(tunnel_id) is setup and not setup.over:
+            self.ends(tunnel_id, Outcome.TIMEOUT)
 
     # -- what happens ------------------------------------------------------------------------------
 
@@ -170,50 +172,50 @@
         client = Client()
         self.clients.append(client)
         line = f"OPEN i{len(self.clients)} k{len(self.clients) % 3} c={profile},d=900,g=g"
-        client.tun = self.tunnels.arrived(client, read_opening(line.encode()))
+        client.tunnel_id = self.tunnels.arrived(client, read_opening(line.encode()))
 
     def _setup(self, pick: int, is_open: bool) -> int | None:
-        tuns = [
-            tun
-            for tun, setup in self.out.items()
-            if not setup.over and bool(self.tunnels.table.get(tun).up) == is_open
+        tunnel_ids = [
+            tunnel_id
+            for tunnel_id, setup in self.out.items()
+            if not setup.over and bool(self.tunnels.table.get(tunnel_id).up) == is_open
         ]
-        return tuns[pick % len(tuns)] if tuns else None
+        return tunnel_ids[pick % len(tunnel_ids)] if tunnel_ids else None
 
     def comes_up(self, pick: int) -> None:
-        tun = self._setup(pick, is_open=False)
-        if tun is not None:
-            self.out[tun].written = True
-            self.tunnels.setup_up(tun, b"UP r", self.now() - self.out[tun].began)
-            self.tunnels.lines_on(tun, [b"m"])
-            self.tunnels.lines_back(tun, [b"LOAD 0.5", b"LOAD none", b"e"])
+        tunnel_id = self._setup(pick, is_open=False)
+        if tunnel_id is not None:
+            self.out[tunnel_id].written = True
+            self.tunnels.setup_up(tunnel_id, b"UP r", self.now() - self.out[tunnel_id].began)
+            self.tunnels.lines_on(tunnel_id, [b"m"])
+            self.tunnels.lines_back(tunnel_id, [b"LOAD 0.5", b"LOAD none", b"e"])
 
     def fails(self, pick: int, outcome: Outcome) -> None:
-        tun = self._setup(pick, is_open=False)
-        if tun is not None:
-            self.ends(tun, outcome)
+        tunnel_id = self._setup(pick, is_open=False)
+        if tunnel_id is not None:
+            self.ends(tunnel_id, outcome)
 
-    def ends(self, tun: int, outcome: Outcome) -> None:
-        setup = self.out.pop(tun)
+    def ends(self, tunnel_id: int, outcome: Outcome) -> None:
+        setup = self.out.pop(tunnel_id)
         setup.over = True
-        self.tunnels.setup_over(tun, setup.ep, outcome, self.now() - setup.began, None, True)
+        self.tunnels.setup_over(tunnel_id, setup.backend_id, outcome, self.now() - setup.began, None, True)
 
     def box_ends(self, pick: int, outcome: Outcome) -> None:
-        tun = self._setup(pick, is_open=True)
-        if tun is not None:
-            self.ends(tun, outcome)
+        tunnel_id = self._setup(pick, is_open=True)
+        if tunnel_id is not None:
+            self.ends(tunnel_id, outcome)
 
     def leaves(self, pick: int) -> None:
-        held = [client for client in self.clients if client.tun >= 0 and client.said in ([], ["UP"])]
+        held = [client for client in self.clients if client.tunnel_id >= 0 and client.said in ([], ["UP"])]
         if held:
             client = held[pick % len(held)]
-            self.tunnels.client_ended(client.tun, abrupt=bool(pick % 2))
+            self.tunnels.client_ended(client.tunnel_id, abrupt=bool(pick % 2))
             client.said.append("LEFT")
 
     def lists(self, pick: int, standing: BackendState) -> None:
-        ep = pick % BOXES
-        self.listing[ep] = self.listing[ep]._replace(standing=standing)
-        self.boxes.changed(ListForm.CHANGES, [self.listing[ep]])
+        backend_id = pick % BOXES
+        self.listing[backend_id] = self.listing[backend_id]._replace(standing=standing)
+        self.boxes.changed(ListForm.CHANGES, [self.listing[backend_id]])
 
     def reports(self, pick: int, asked: float) -> None:
         self.module.tell(self.module.balancer.probed, pick % BOXES, asked < 5, LoadReport(asked=asked))
@@ -224,11 +226,11 @@
 
     told = 0
 
-    def _place(self, now: int, tun_id: int, tun: Any) -> None:
+    def _place(self, now: int, connection_id: int, connection: Any) -> None:
         self.told += 1
         if self.told % 3 == 0:
             raise RuntimeError("on purpose")
-        super()._place(now, tun_id, tun)
+        super()._place(now, connection_id, connection)
 
 
 def check_answers(client: Client) -> None:
@@ -274,9 +276,9 @@
         elif name == "fill":
             scene.full = arguments[0]
         elif name == "silent":
-            tun = scene._setup(arguments[0], is_open=True)
-            if tun is not None:
-                scene.tunnels.silent(tun)
+            tunnel_id = scene._setup(arguments[0], is_open=True)
+            if tunnel_id is not None:
+                scene.tunnels.silent(tunnel_id)
         else:
             getattr(scene, name)(*arguments)
         for client in scene.clients:
@@ -305,8 +307,8 @@
 def test_a_setup_that_found_no_slot_is_not_counted_once_its_client_has_left() -> None:
     """Both in one turn of the reactor: the module counted it for as long as the relay ran."""
     scene = Scene()
-    for ep in range(BOXES):
-        scene.reports(ep, 0.1)
+    for backend_id in range(BOXES):
+        scene.reports(backend_id, 0.1)
     scene.full = True
     scene.comes("a")
     scene.leaves(0)
@@ -323,8 +325,8 @@
 def test_a_module_that_fails_as_all_are_ended_leaves_nobody_without_an_answer() -> None:
     """Who waited was answered by the first failure, and the sweep broke off at the next of them."""
     scene = Scene()
-    for ep in range(BOXES):
-        scene.reports(ep, 0.1)
+    for backend_id in range(BOXES):
+        scene.reports(backend_id, 0.1)
     scene.reactor.advance(4)  # so they wait for a look
     for _ in range(3):
         scene.comes("a")
