--- a/cedarledge/fleet.py
+++ b/cedarledge/fleet.py
@@ -13,8 +13,8 @@
 
 from cedarledge import __version__
 from cedarledge.net.config import BadConfigError, StartingOrders
+from cedarledge.net.interfaces import Observer
 from cedarledge.net.relay import Relay
-from cedarledge.net.seams import Hearer
 from cedarledge.operator.file import OperatorFile, PeersTable
 from cedarledge.peers.machine import Pace, Peers
 from cedarledge.peers.messages import PLAIN, Value
@@ -27,7 +27,7 @@
 RATE_OVER = 4 * SECOND
 
 
-class Newcomers(Hearer):
+class Newcomers(Observer):
     """How many come in a second, over the last whole span."""
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
             f"peers are on, and the relay's name is not 1 to 64 plain characters: {orders.name!r}"
         )
     newcomers = Newcomers()
-    relay.listens(newcomers)
+    relay.add_observer(newcomers)
     zone = str(orders.settings.get("zone") or "").encode("ascii", "replace").decode()[:64]
     digest = digest_of(orders.settings)
 
--- a/cedarledge/net/audit.py
+++ b/cedarledge/net/audit.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from cedarledge.net.invariants import Invariant, Invariants
-from cedarledge.net.request_guard import GRACE
+from cedarledge.net.request_guard import TIME_LIMIT_GRACE
 from cedarledge.net.timers import Timer, Timers
 from cedarledge.net.tunnels import Tunnel, Tunnels
 from cedarledge.terms import MS, SECOND
@@ -69,10 +69,10 @@
 
     def _look_at(self, handle: int, tunnel: Tunnel, now: int) -> None:
         deadline = tunnel.request.deadline
-        if tunnel.over:
+        if tunnel.closed:
             return
-        if not tunnel.up:
-            if deadline and now > deadline + GRACE:
+        if not tunnel.is_open:
+            if deadline and now > deadline + TIME_LIMIT_GRACE:
                 self._broken(Invariant.OVERDUE_REQUEST, handle, tunnel)
         elif tunnel.echo is not None and tunnel.echo.silent_for(now) > LONGEST_SILENCE:
             self._broken(Invariant.HELD_SILENT, handle, tunnel)
@@ -103,6 +103,6 @@
         self._timers.cancel(self._due)
         for handle in self._tunnels.table.handles():
             tunnel = self._tunnels.table.get(handle)
-            if tunnel is not None and not tunnel.over:
+            if tunnel is not None and not tunnel.closed:
                 self._broken(Invariant.CLOSED_UNANSWERED, handle, tunnel)
         self.tell()
--- a/cedarledge/net/backends.py
+++ b/cedarledge/net/backends.py
@@ -13,11 +13,11 @@
 from zope.interface import implementer
 
 from cedarledge.net.config import Address
-from cedarledge.net.lines import figure
+from cedarledge.net.lines import parse_finite
 from cedarledge.net.links import ConnectionContext, Link
 from cedarledge.net.paces import Paces
 from cedarledge.net.shortages import was_not_tried
-from cedarledge.net.slots import FullError
+from cedarledge.net.slots import NoFreeSlotError
 from cedarledge.net.timers import Timer
 from cedarledge.settings import ReportReader
 from cedarledge.terms import MS, LoadReport, Outcome
@@ -60,7 +60,7 @@
     """The load report that may end a line; one that is no list of figures is none."""
     try:
         pairs = (pair.split("=", 1) for pair in text.decode("ascii").split(","))
-        return reader({name: figure(value) for name, value in pairs})
+        return reader({name: parse_finite(value) for name, value in pairs})
     except ValueError:
         return None
 
@@ -360,7 +360,7 @@
         if link is None:
             try:
                 link = self.probes[backend_id] = ProbeLink(self, backend_id, address)
-            except FullError:
+            except NoFreeSlotError:
                 # Told later, as the module is in the midst of asking, and as no news: the want of a slot is
                 # this relay's, and the backend may not be called busy for it.
                 self.context.timers.after(0, self.probe_over, backend_id, True, LoadReport())
--- a/cedarledge/net/boxlist.py
+++ b/cedarledge/net/boxlist.py
@@ -7,7 +7,7 @@
 
 from cedarledge.net.config import Address, address_of
 from cedarledge.net.hearers import Hearers
-from cedarledge.net.module import Module
+from cedarledge.net.policy_host import RelayPolicyHost
 from cedarledge.net.start_times import StartTimes
 from cedarledge.settings import Indices, mark_of
 from cedarledge.terms import MS, BackendState, Listed, ListForm
@@ -25,8 +25,8 @@
     runs from when discovery wrote it. What operators say of a box is merged in here: one that they have taken
     out reaches the module as one that drains, whatever the list says of it."""
 
-    def __init__(self, module: Module, hearers: Hearers, settings: Mapping[str, Any]) -> None:
-        self.module = module
+    def __init__(self, policy_host: RelayPolicyHost, hearers: Hearers, settings: Mapping[str, Any]) -> None:
+        self.policy_host = policy_host
         self.hearers = hearers
         self.backend_ids = Indices()
         self.zones = Indices(settings.get("dcs"))
@@ -37,7 +37,7 @@
         self.heard = False  # of discovery itself, not only what this relay was started with
         self.banned: dict[int, int] = {}  # taken out by operators, and since when
         self.back: dict[int, int] = {}  # put back by them, and when
-        self.start_times = StartTimes(module.clock)
+        self.start_times = StartTimes(policy_host.clock)
 
     def entry(self, told: Mapping[str, Any]) -> Listed:
         """One entry in the module's terms. Raises KeyError, TypeError or ValueError for what is none."""
@@ -88,7 +88,7 @@
         self.changed(form, entries)
 
     def lost(self) -> None:
-        self.module.tell(self.module.balancer.list_changed, ListForm.UNAVAILABLE, [])
+        self.policy_host.call(self.policy_host.balancer.list_changed, ListForm.UNAVAILABLE, [])
         self.hearers.tell("listed", ListForm.UNAVAILABLE, [])
 
     def changed(self, form: ListForm, entries: list[Listed]) -> None:
@@ -96,13 +96,13 @@
             self.ready.clear()
         self.ready -= {entry.ep for entry in entries}
         self.ready |= {entry.ep for entry in entries if entry.standing is BackendState.READY}
-        self.module.tell(self.module.balancer.list_changed, form, entries)
+        self.policy_host.call(self.policy_host.balancer.list_changed, form, entries)
         self.hearers.tell("listed", form, entries)
 
     def set_aside(self, names: Collection[str]) -> None:
         """What the operator wants nothing new sent to. A box that is not on the list yet is known by its
         name."""
-        self.module.knows(aside=frozenset(self.backend_ids[name] for name in names))
+        self.policy_host.update_external_view(aside=frozenset(self.backend_ids[name] for name in names))
 
     # -- what operators call -----------------------------------------------------------------------
 
--- a/cedarledge/net/clients.py
+++ b/cedarledge/net/clients.py
@@ -8,54 +8,54 @@
 from twisted.internet.interfaces import IAddress
 
 from cedarledge.net.doors import Door
+from cedarledge.net.interfaces import RequestHandler
 from cedarledge.net.invariants import Invariant
-from cedarledge.net.lines import figure
+from cedarledge.net.lines import parse_finite
 from cedarledge.net.links import ConnectionContext, Link
-from cedarledge.net.seams import Taker
 from cedarledge.terms import MS
 
 # How long a connection may stand without a whole OPEN: who can't be dealt with is owed an end within 3 s.
-FIRST_LINE_WITHIN = 2500 * MS
+OPEN_LINE_TIMEOUT = 2500 * MS
 # Connections that are not tunnels yet, or no longer, and probes: what tunnels must leave free.
-SPARE_LINKS = 48
+RESERVED_SLOTS = 48
 # With less room than the first each newcomer takes the place of an idle one, with less than the last it is
 # refused.
-ROOM, LAST_ROOM = 40, 8
+EVICTION_FREE_SLOTS, REFUSAL_FREE_SLOTS = 40, 8
 WAIT = re.compile(rb"(?:^|(?<=,))d=(\d{1,9})(?=,|$)")
 # No id, key or group comes near this. They stay in tables for as long as a tunnel lasts, keys in the module's
 # for longer, and a stranger could fill these with lines of the longest length.
-LONGEST_NAME = 256
+MAX_NAME_BYTES = 256
 # What one connection can ask of a backend, by far: a guess past that would drown all others' in every mean.
-MOST_LOAD = 1e6
+MAX_LOAD_HINT = 1e6
 
 
 class MalformedError(Exception):
     """A line that is no OPEN as the protocol has it."""
 
 
-class Opening(NamedTuple):
+class OpenRequest(NamedTuple):
     """What an OPEN line asks for."""
 
     line: bytes
     id: str
     profile: str
     key: str
-    wait: int  # how long the client waits for UP; 0: not said
+    client_timeout: int  # how long the client waits for UP; 0: not said
     group: str | None
     tenant: str | None
-    hint: float | None
+    load_hint: float | None
     returning: bool
-    at: str | None  # the backend that held it before
+    previous_backend: str | None  # the backend that held it before
 
-    def head(self, wait: int) -> bytes:
+    def line_for_backend(self, timeout: int) -> bytes:
         """The line for a backend: unchanged, but for how long the relay will wait."""
-        if self.at is not None:
+        if self.previous_backend is not None:
             return self.line
         start, found, names = self.line.rpartition(b" ")
-        return start + found + WAIT.sub(b"d=%d" % max(1, wait // MS), names, count=1)
+        return start + found + WAIT.sub(b"d=%d" % max(1, timeout // MS), names, count=1)
 
 
-def read_opening(line: bytes) -> Opening:
+def parse_open_request(line: bytes) -> OpenRequest:
     try:
         words = line.decode("ascii").split(" ")
         if len(words) != 4 or words[0] != "OPEN" or not words[1] or not words[2]:
@@ -64,18 +64,18 @@
         told = dict(pairs)
         if len(told) < len(pairs):
             raise MalformedError("a name twice")
-        if max(map(len, (*words[1:3], told.get("g", "")))) > LONGEST_NAME:
-            raise MalformedError(f"a name of over {LONGEST_NAME} bytes")
-        hint = figure(told["h"]) if "h" in told else None
+        if max(map(len, (*words[1:3], told.get("g", "")))) > MAX_NAME_BYTES:
+            raise MalformedError(f"a name of over {MAX_NAME_BYTES} bytes")
+        hint = parse_finite(told["h"]) if "h" in told else None
         if hint is not None:
             if hint < 0:
                 raise MalformedError("no load in h")
-            hint = min(hint, MOST_LOAD)
+            hint = min(hint, MAX_LOAD_HINT)
         at = told.get("at")
         wait = WAIT.search(line.rpartition(b" ")[2])
         if at is None and (wait is None or not int(wait[1])):
             raise MalformedError("no time to wait in d")
-        return Opening(
+        return OpenRequest(
             line,
             words[1],
             told["c"],
@@ -102,17 +102,17 @@
 
     def __init__(self, listener: Listener) -> None:
         super().__init__(listener.context)
-        self.taker = listener.taker
+        self.handler = listener.handler
         self.listener = listener
         self.tunnel_id = -1
         self.is_open = False
-        self.owes_answer = False  # a whole request was read, and no word of an answer said
+        self.answer_pending = False  # a whole request was read, and no word of an answer said
 
     def came_up(self) -> None:
         self.listener.lives(self)
         # From connecting on: half lines and PINGs put nothing off. Where this process was paused the line may
         # lie here unread, and its client is owed an answer.
-        self.due_in(FIRST_LINE_WITHIN, self.finish, reads_first=True)
+        self.due_in(OPEN_LINE_TIMEOUT, self.finish, reads_first=True)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         if self.tunnel_id >= 0 and not self.is_open and not self.ending:
@@ -124,41 +124,41 @@
 
     def lines_came(self, lines: list[bytes]) -> None:
         if self.is_open:
-            self.taker.lines_on(self.tunnel_id, lines)
+            self.handler.lines_from_client(self.tunnel_id, lines)
         elif len(lines) > 1 or self.lines.waiting:
             # Looked at before the line is dealt with: a backend may not see one of which the client itself
             # makes nonsense.
             self.bad_input("more before the answer")
         elif lines[0] == b"PING":
             # To the system at once: from here on it may be reset to make room.
-            self.send_lines([b"ERR" if self.listener.away else b"PONG"])
+            self.send_lines([b"ERR" if self.listener.out_of_service else b"PONG"])
             self.listener.answered(self)
         else:
             self._first_line(lines[0])
 
     def _first_line(self, line: bytes) -> None:
         try:
-            opening = read_opening(line)
+            open_request = parse_open_request(line)
         except MalformedError as why:
             self.bad_input(f"{why}: {line[:80]!r}")
             return
         self.nothing_due()
         self.listener.keep(self)
-        self.owes_answer = True
-        self.tunnel_id = self.taker.arrived(self, opening)
+        self.answer_pending = True
+        self.tunnel_id = self.handler.request_arrived(self, open_request)
 
     def turn_out(self) -> None:
         if self.is_open:
             super().turn_out()
             return
         if self.tunnel_id >= 0:
-            self.taker.client_ended(self.tunnel_id, abrupt=False)
-        self.fail()
+            self.handler.client_closed(self.tunnel_id, abrupt=False)
+        self.send_error()
 
     def peer_ended(self, abrupt: bool) -> None:
-        self.owes_answer = False  # there is nobody to have it
+        self.answer_pending = False  # there is nobody to have it
         if self.tunnel_id >= 0:
-            self.taker.client_ended(self.tunnel_id, abrupt)
+            self.handler.client_closed(self.tunnel_id, abrupt)
 
     def writeConnectionLost(self) -> None:  # noqa: N802
         self.listener.answered(self)
@@ -166,29 +166,29 @@
     def _gone(self) -> None:
         super()._gone()
         self.listener.gone(self)
-        if self.owes_answer:
+        if self.answer_pending:
             self.context.invariants.broken(Invariant.CLOSED_UNANSWERED, f"tunnel {self.tunnel_id}")
 
     # -- the answers, each the last but opened ---------------------------------------------------
 
-    def opened(self, line: bytes) -> None:
+    def accept(self, line: bytes) -> None:
         self.is_open = True
-        self.owes_answer = False
+        self.answer_pending = False
         # To the system at once: its backend may reset the connection in the same turn of the reactor, and
         # what still waited here would go with it.
         self.send_lines([line])
 
-    def decline(self, come_back: int) -> None:
-        self.owes_answer = False
-        self.send_line(b"BUSY %d" % (come_back // MS) if come_back >= MS else b"BUSY")
+    def reject(self, retry_after: int) -> None:
+        self.answer_pending = False
+        self.send_line(b"BUSY %d" % (retry_after // MS) if retry_after >= MS else b"BUSY")
         self.finish()
 
-    def fail(self) -> None:
-        self.owes_answer = False
+    def send_error(self) -> None:
+        self.answer_pending = False
         self.send_line(b"ERR")
         self.finish()
 
-    def move(self) -> None:
+    def send_move(self) -> None:
         self.send_line(b"MOVE")
         self.finish()
 
@@ -198,17 +198,17 @@
     where nobody can make room do newcomers wait in the system's queue.
     """
 
-    room = ROOM
+    room = EVICTION_FREE_SLOTS
 
-    def __init__(self, context: ConnectionContext, taker: Taker) -> None:
+    def __init__(self, context: ConnectionContext, handler: RequestHandler) -> None:
         super().__init__(context)
-        self.taker = taker
+        self.handler = handler
         self.paused = self.held_back = False  # for want of slots; another process takes clients in
-        self.away = False  # out of service: the front that asks is to deal no clients to this relay
+        self.out_of_service = False  # out of service: the front that asks is to deal no clients to this relay
 
     def buildProtocol(self, addr: IAddress) -> ClientLink | None:  # noqa: N802
         self.make_room()
-        if self.context.links.left <= LAST_ROOM:
+        if self.context.links.free <= REFUSAL_FREE_SLOTS:
             # Refused here by closing; a socket more might be the one that ends the process.
             self.context.rate_limited_log.about("client", "no slot is left")
             self.paused = True
@@ -218,21 +218,21 @@
 
     def gone(self, link: Link) -> None:
         super().gone(link)
-        self.came_free()
+        self.slots_freed()
 
-    def came_free(self) -> None:
+    def slots_freed(self) -> None:
         """Slots have come free, here or at the process before."""
-        if self.paused and self.context.links.left > LAST_ROOM and self.port.connected:
+        if self.paused and self.context.links.free > REFUSAL_FREE_SLOTS and self.port.connected:
             self.paused = False
             self._read()
 
-    def hold_back(self) -> None:
+    def pause_accepting(self) -> None:
         """Another process of this relay is about to take clients in. Who has not been accepted waits in the
         system's queue, which both share."""
         self.held_back = True
         self.port.stopReading()
 
-    def go_on(self) -> None:
+    def resume_accepting(self) -> None:
         self.held_back = False
         self._read()
 
--- a/cedarledge/net/control.py
+++ b/cedarledge/net/control.py
@@ -13,7 +13,7 @@
 from cedarledge.net.doors import AT_A_TIME, Door
 from cedarledge.net.links import ConnectionContext, Link
 from cedarledge.net.service import Service, UnknownError
-from cedarledge.net.slots import Slots
+from cedarledge.net.slots import SlotTable
 from cedarledge.terms import MS
 
 if TYPE_CHECKING:
@@ -175,7 +175,7 @@
     room = ROOM
 
     def __init__(self, context: ConnectionContext, service: Service, handover: Handover | None) -> None:
-        super().__init__(context._replace(links=Slots(MOST_CALLERS), pool=Pool(0, 0)))
+        super().__init__(context._replace(links=SlotTable(MOST_CALLERS), pool=Pool(0, 0)))
         self.service = service
         self.handover = handover  # to another process of this relay, where there can be one
 
@@ -184,7 +184,7 @@
         # After a pause of this process Twisted would take in 24 in its next turn, more than have a place: the
         # first of them would make room for the last before their calls were read.
         self.context.timers.after(0, setattr, self.port, "numberAccepts", AT_A_TIME)
-        return CallLink(self) if self.context.links.left else None
+        return CallLink(self) if self.context.links.free else None
 
     def carry_out(self, call: Call, answer: Callable[[Answer], None]) -> None:
         *start, last = call.path.split("/")
--- a/cedarledge/net/doors.py
+++ b/cedarledge/net/doors.py
@@ -66,7 +66,7 @@
         # Twisted would take in a hundred and more before it lets one of those go that make room.
         self.port.numberAccepts = AT_A_TIME
         # A newcomer that becomes a tunnel takes a second slot for its setup, so it may be more than one.
-        while self.context.links.left + len(self.going) <= self.room and (
+        while self.context.links.free + len(self.going) <= self.room and (
             held := self.leaving or self.waiting
         ):
             link = next(iter(held))
--- a/cedarledge/net/eventlog.py
+++ b/cedarledge/net/eventlog.py
@@ -7,11 +7,11 @@
 
 from loguru import logger
 
-from cedarledge.net.seams import Hearer
+from cedarledge.net.interfaces import Observer
 from cedarledge.terms import Listed, ListForm, LoadReport, Outcome
 
 
-class EventLog(Hearer):
+class EventLog(Observer):
     """Names: tunnel.arrived, tunnel.setup, tunnel.opened, tunnel.setup_over, tunnel.answered, tunnel.moved,
     tunnel.ended, list.changed, list.lost, box.probed. Durations are ns."""
 
--- a/cedarledge/net/handover.py
+++ b/cedarledge/net/handover.py
@@ -28,8 +28,8 @@
 from cedarledge.net.backends import Once
 from cedarledge.net.boxlist import BoxList
 from cedarledge.net.discovery import Watch
+from cedarledge.net.interfaces import Frontend
 from cedarledge.net.links import ConnectionContext
-from cedarledge.net.seams import Front
 from cedarledge.net.service import Service, UnknownError
 from cedarledge.net.timers import Timer
 from cedarledge.net.tunnels import Tunnels
@@ -249,7 +249,7 @@
         service: Service,
         boxes: BoxList,
         tunnels: Tunnels,
-        listener: Front,
+        listener: Frontend,
         watching: Watch,
     ) -> None:
         self.reactor = context.reactor
@@ -317,11 +317,11 @@
         self.boxes.banned = {backend_ids[name]: since + shift for name, since in estate.banned.items()}
         self.boxes.back = {backend_ids[name]: at + shift for name, at in estate.back.items()}
         self.boxes.take_in(ListForm.WHOLE, estate.members)
-        beliefs.follow(self.boxes.module.balancer, self.boxes.kinds, estate.beliefs, self.timers.now())
+        beliefs.follow(self.boxes.policy_host.balancer, self.boxes.kinds, estate.beliefs, self.timers.now())
         self.watching.go_on_from(estate.revision)
-        self.tunnels.ids_before = frozenset(estate.ids)
-        self.tunnels.begun = True
-        self.links.lent = estate.held
+        self.tunnels.predecessor_ids = frozenset(estate.ids)
+        self.tunnels.saw_new_request = True
+        self.links.reserved = estate.held
         if estate.away:
             self.service.go_out()
 
@@ -341,8 +341,8 @@
     def _give_up(self) -> None:
         before, self.before = self.before, None
         self.service.takes_over = False
-        self.links.lent = 0
-        self.tunnels.ids_before = frozenset()
+        self.links.reserved = 0
+        self.tunnels.predecessor_ids = frozenset()
         before.transport.abortConnection()
 
     def end(self) -> None:
@@ -370,8 +370,8 @@
 
     def _lend(self, held: int) -> None:
         # A listener that stopped for want of room hears of no connection of its own that has gone.
-        self.links.lent = held
-        self.listener.came_free()
+        self.links.reserved = held
+        self.listener.slots_freed()
 
     def _asked(self, peer: Peer, told: dict[str, Any]) -> None:
         if told["version"] != VERSION or told.get("name") != self.name:
@@ -383,7 +383,7 @@
             self.after.transport.abortConnection()
         logger.info("handover: a new process asks; nothing more is taken in here")
         self.after = peer
-        self.listener.hold_back()
+        self.listener.pause_accepting()
         # The other's word that it has taken over may lie unread where this process was paused.
         self._lease = self.timers.after_reading(LEASE, self._lapsed, peer)
         names, shared_now = self.boxes.backend_ids.names, time.monotonic_ns()
@@ -393,17 +393,17 @@
             list(self.boxes.listed.values()),
             {names[backend_id]: since for backend_id, since in self.boxes.banned.items()},
             {names[backend_id]: at for backend_id, at in self.boxes.back.items()},
-            self.listener.away,
+            self.listener.out_of_service,
             sorted(self.tunnels.ids),
             self._held(),
-            beliefs.told_of(self.boxes.module.balancer, self.boxes.kinds, self.timers.now()),
+            beliefs.told_of(self.boxes.policy_host.balancer, self.boxes.kinds, self.timers.now()),
             self.timers.now() - shared_now,
             self.boxes.start_times.unix_offset(shared_now),
         )
         peer.tell(version=VERSION, estate=estate._asdict())
 
     def _held(self) -> int:
-        return len(os.listdir("/proc/self/fd")) + self.links.lent
+        return len(os.listdir("/proc/self/fd")) + self.links.reserved
 
     def _lapsed(self, peer: Peer) -> None:
         logger.warning("handover: the new process did not take over in time")
@@ -430,7 +430,7 @@
             logger.info("handover: the process before has ended")
             self.before = None
             self.service.takes_over = False
-            self.tunnels.ids_before = frozenset()
+            self.tunnels.predecessor_ids = frozenset()
             self._lend(0)
         elif peer is self.after:
             # It died, or never took over: whoever waits in the system's queue is this process's again.
@@ -438,7 +438,7 @@
             self.timers.cancel(self._lease)
             self.after = None
             self.service.replaced = False
-            self.listener.go_on()
+            self.listener.resume_accepting()
 
     # -- what operators call -----------------------------------------------------------------------
 
--- a/cedarledge/net/hearers.py
+++ b/cedarledge/net/hearers.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from cedarledge.net.seams import HEARD, Hearer
+from cedarledge.net.interfaces import OBSERVED_EVENTS, Observer
 from cedarledge.net.timers import Timers
 from cedarledge.terms import SECOND
 
@@ -21,7 +21,7 @@
 
     __slots__ = ("faults", "hearer", "missed", "out", "spent")
 
-    def __init__(self, hearer: Hearer) -> None:
+    def __init__(self, hearer: Observer) -> None:
         self.hearer = hearer
         self.spent = self.faults = self.missed = 0
         self.out = False
@@ -47,10 +47,12 @@
         self.left_out = left_out
         self._seats: list[_Seat] = []
         # Who has something to do for each thing that happens: the rest is not even called.
-        self._calls: dict[str, list[tuple[_Seat, Callable[..., None]]]] = {name: [] for name in HEARD}
+        self._calls: dict[str, list[tuple[_Seat, Callable[..., None]]]] = {
+            name: [] for name in OBSERVED_EVENTS
+        }
         self._span_ends = 0
 
-    def add(self, hearer: Hearer) -> None:
+    def add(self, hearer: Observer) -> None:
         self._seats.append(_Seat(hearer))
         self._arrange()
 
@@ -64,7 +66,7 @@
             calls[:] = [
                 (seat, getattr(seat.hearer, name))
                 for seat in self._seats
-                if getattr(type(seat.hearer), name) is not getattr(Hearer, name)
+                if getattr(type(seat.hearer), name) is not getattr(Observer, name)
             ]
 
     def tell(self, name: str, *args: Any) -> None:
--- a/cedarledge/net/seams.py
+++ b/cedarledge/net/interfaces.py
@@ -7,7 +7,8 @@
   is one.
 - *Facts*: what a subsystem knows reaches the decision module as the plain values of `terms.ExternalView`, set
 through
-  `module.Module.knows`. `boxlist.BoxList.set_aside` does so for the operator's file.
+  `policy_host.RelayPolicyHost.update_external_view`. `boxlist.BoxList.set_aside` does so for the operator's
+  file.
 """
 
 from __future__ import annotations
@@ -17,48 +18,48 @@
 from cedarledge.terms import Listed, ListForm, LoadReport, Outcome
 
 if TYPE_CHECKING:
-    from cedarledge.net.clients import Opening
+    from cedarledge.net.clients import OpenRequest
     from cedarledge.net.config import Address
 
 
-class ClientEnd(Protocol):
+class ClientConnection(Protocol):
     """A client's connection as the tunnels see it. Every answer but `opened` is its last word."""
 
     transport: Any
 
     def peer_has_left(self) -> bool: ...
-    def opened(self, line: bytes) -> None: ...
+    def accept(self, line: bytes) -> None: ...
     def send_lines(self, lines: list[bytes]) -> None: ...
-    def decline(self, come_back: int) -> None: ...
-    def fail(self) -> None: ...
-    def move(self) -> None: ...
+    def reject(self, retry_after: int) -> None: ...
+    def send_error(self) -> None: ...
+    def send_move(self) -> None: ...
     def finish(self) -> None: ...
     def abort(self) -> None: ...
     def bad_input(self, why: str) -> None: ...
 
 
-class Taker(Protocol):
+class RequestHandler(Protocol):
     """Where a front takes what comes; tunnel_id is the handle that arrived gave, below 0 for one already
     answered."""
 
-    def arrived(self, client: ClientEnd, opening: Opening) -> int: ...
-    def lines_on(self, tunnel_id: int, lines: list[bytes]) -> None: ...
-    def client_ended(self, tunnel_id: int, abrupt: bool) -> None: ...
+    def request_arrived(self, client: ClientConnection, opening: OpenRequest) -> int: ...
+    def lines_from_client(self, tunnel_id: int, lines: list[bytes]) -> None: ...
+    def client_closed(self, tunnel_id: int, abrupt: bool) -> None: ...
 
 
-class Front(Protocol):
+class Frontend(Protocol):
     """What takes clients in. It owns its listener and its connections."""
 
-    away: bool  # out of service: no more clients are to be dealt here
+    out_of_service: bool  # out of service: no more clients are to be dealt here
 
     def open(self, address: Address, inherited: int | None = None) -> None: ...
-    def hold_back(self) -> None: ...
-    def go_on(self) -> None: ...
+    def pause_accepting(self) -> None: ...
+    def resume_accepting(self) -> None: ...
     def turn_away(self) -> None: ...
-    def came_free(self) -> None: ...
+    def slots_freed(self) -> None: ...
 
 
-class Hearer:
+class Observer:
     """Told what happens, after it has. A method left as it is costs nothing. Times are ns, tunnels and boxes
     the relay's own numbers; what a method raises, or takes too long over, is its own loss."""
 
@@ -93,4 +94,14 @@
         """A probe is over."""
 
 
-HEARD = ("arrived", "set_up", "opened", "setup_over", "answered", "moved", "ended", "listed", "probed")
+OBSERVED_EVENTS = (
+    "arrived",
+    "set_up",
+    "opened",
+    "setup_over",
+    "answered",
+    "moved",
+    "ended",
+    "listed",
+    "probed",
+)
--- a/cedarledge/net/invariants.py
+++ b/cedarledge/net/invariants.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 # Lines in the log for each invariant; past them only the count goes on.
-MOST_LOGGED = 20
+MAX_LOGGED = 20
 
 
 class Invariant(Enum):
@@ -37,7 +37,7 @@
     def broken(self, invariant: Invariant, about: str) -> None:
         """One was seen broken; `about` names the request, the backend and how far."""
         self.counts[invariant] += 1
-        if self.counts[invariant] <= MOST_LOGGED:
+        if self.counts[invariant] <= MAX_LOGGED:
             logger.error("invariant broken: {}: {}", invariant.value, about)
 
     def summary(self) -> str:
--- a/cedarledge/net/lines.py
+++ b/cedarledge/net/lines.py
@@ -7,16 +7,16 @@
 from cedarledge.net.buffers import Pool
 
 END = b"\r\n"
-LONGEST = 4096
+MAX_LINE_BYTES = 4096
 # A line that waits for its rest may have come whole but for the last byte of its end.
-BUFFER_SIZE = LONGEST + 1
+BUFFER_SIZE = MAX_LINE_BYTES + 1
 
 
-class OverlongError(Exception):
+class LineTooLongError(Exception):
     """A line past the protocol's limit."""
 
 
-def figure(text: str) -> float:
+def parse_finite(text: str) -> float:
     """A number out of a line. What is not finite would stay in every sum that it enters."""
     value = float(text)
     if not math.isfinite(value):
@@ -24,7 +24,7 @@
     return value
 
 
-class Lines:
+class LineBuffer:
     """The lines of one connection. It owns at most one buffer, and only while a line has come in part."""
 
     __slots__ = ("_buffer", "_held", "_pool")
@@ -41,8 +41,8 @@
             self.close()
         lines = data.split(END)
         rest = lines.pop()
-        if len(rest) > BUFFER_SIZE or (lines and max(map(len, lines)) > LONGEST):
-            raise OverlongError(f"a line of more than {LONGEST} bytes")
+        if len(rest) > BUFFER_SIZE or (lines and max(map(len, lines)) > MAX_LINE_BYTES):
+            raise LineTooLongError(f"a line of more than {MAX_LINE_BYTES} bytes")
         if rest:
             self._buffer = self._pool.take()
             self._buffer[: len(rest)] = rest
--- a/cedarledge/net/links.py
+++ b/cedarledge/net/links.py
@@ -14,10 +14,10 @@
 
 from cedarledge.net.buffers import NoBufferError, Pool
 from cedarledge.net.invariants import Invariants
-from cedarledge.net.lines import END, LONGEST, Lines, OverlongError
+from cedarledge.net.lines import END, MAX_LINE_BYTES, LineBuffer, LineTooLongError
 from cedarledge.net.rate_limited_log import RateLimitedLog
 from cedarledge.net.shortages import NOT_NOW
-from cedarledge.net.slots import Slots
+from cedarledge.net.slots import SlotTable
 from cedarledge.net.timers import Timer, Timers
 from cedarledge.terms import SECOND
 
@@ -36,7 +36,7 @@
     clock: Callable[[], int]
     timers: Timers
     pool: Pool
-    links: Slots[Link]
+    links: SlotTable[Link]
     rate_limited_log: RateLimitedLog
     invariants: Invariants
 
@@ -50,11 +50,11 @@
 
     def __init__(self, context: ConnectionContext) -> None:
         self.context = context
-        self.lines = Lines(context.pool)
+        self.lines = LineBuffer(context.pool)
         self.deadline: Timer | None = None
         self.up = self.ending = False
         self.unheard = 0  # bytes that came after its end
-        self.slot = context.links.take(self)
+        self.slot = context.links.allocate(self)
 
     # -- what the peers' files fill in -----------------------------------------------------------
 
@@ -157,7 +157,7 @@
         self.up = True
         self.transport.setTcpNoDelay(True)
         # Twisted would ask the system for 64 KiB a read; the longest line is a sixteenth of that.
-        self.transport.bufferSize = 2 * LONGEST
+        self.transport.bufferSize = 2 * MAX_LINE_BYTES
         self.came_up()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
@@ -168,7 +168,7 @@
             return
         try:
             lines = self.lines.feed(data)
-        except (OverlongError, NoBufferError) as why:
+        except (LineTooLongError, NoBufferError) as why:
             self.bad_input(str(why))
             return
         if lines:
@@ -196,4 +196,4 @@
         self.up = False
         self.nothing_due()
         self.lines.close()
-        self.context.links.give_back(self.slot)
+        self.context.links.release(self.slot)
--- a/cedarledge/net/module.py
+++ b/cedarledge/net/policy_host.py
@@ -17,10 +17,10 @@
     from cedarledge.net.discovery import Watch
     from cedarledge.net.tunnels import Tunnels
 
-MakeBalancer = Callable[["Module", DeploymentSettings], Balancer]
+MakeBalancer = Callable[["RelayPolicyHost", DeploymentSettings], Balancer]
 
 
-class Module:
+class RelayPolicyHost:
     """The host of one Balancer (terms.PolicyHost), and the way by which everything reaches it."""
 
     balancer: Balancer
@@ -30,7 +30,7 @@
         self.timers = timers
         self.external_view = ExternalView()
 
-    def join(self, tunnels: Tunnels, backends: Backends, boxes: BoxList, watching: Watch) -> None:
+    def connect(self, tunnels: Tunnels, backends: Backends, boxes: BoxList, watching: Watch) -> None:
         self.tunnels = tunnels
         self.backends = backends
         self.boxes = boxes
@@ -39,30 +39,30 @@
         self.send, self.decline = tunnels.send, tunnels.decline
         self.close_with_error, self.move = tunnels.close_with_error, tunnels.move
 
-    def start(self, facts: DeploymentSettings, make: MakeBalancer = Balancer) -> None:
-        self.balancer = make(self, facts)
+    def start(self, settings: DeploymentSettings, make_balancer: MakeBalancer = Balancer) -> None:
+        self.balancer = make_balancer(self, settings)
 
-    def chance(self) -> float:
+    def random(self) -> float:
         """A draw from the one source of random numbers that a relay has."""
         return self.balancer.chance()
 
-    def tell(self, method: Callable[..., None], *args: Any) -> bool:
+    def call(self, method: Callable[..., None], *args: Any) -> bool:
         """Calls the module. A fault there costs one event, not the connections that this relay holds; but
         who was waiting for its word may never hear it, and is answered now."""
         try:
             method(self.clock(), *args)
         except Exception:
             logger.exception("the decision module failed")
-            self.tunnels.answer_waiting()
+            self.tunnels.fail_waiting_requests()
             return False
         return True
 
-    def knows(self, **known: Any) -> None:
+    def update_external_view(self, **known: Any) -> None:
         """A subsystem's fields of the external view have changed."""
         external_view = self.external_view._replace(**known)
         if external_view != self.external_view:
             self.external_view = external_view
-            self.tell(self.balancer.knows, external_view)
+            self.call(self.balancer.knows, external_view)
 
     # -- the rest of the host interface ------------------------------------------------------------
 
@@ -71,10 +71,10 @@
 
     def wake(self, delay: int, token: int) -> None:
         # The module takes the end of a look for its box's silence.
-        self.timers.after_reading(delay, self._woke, token)
+        self.timers.after_reading(delay, self._on_timer, token)
 
-    def _woke(self, token: int) -> None:
-        self.tell(self.balancer.woke, token)
+    def _on_timer(self, token: int) -> None:
+        self.call(self.balancer.woke, token)
 
     def watch(self) -> None:
         self.watching.start()
--- a/cedarledge/net/relay.py
+++ b/cedarledge/net/relay.py
@@ -18,22 +18,22 @@
 from cedarledge.net.backends import Backends
 from cedarledge.net.boxlist import BoxList
 from cedarledge.net.buffers import Pool
-from cedarledge.net.clients import SPARE_LINKS, Listener
+from cedarledge.net.clients import RESERVED_SLOTS, Listener
 from cedarledge.net.config import BadConfigError, ShortageError, StartingOrders, read_orders
 from cedarledge.net.discovery import Watch
 from cedarledge.net.echoes import Delays, Echoes
 from cedarledge.net.hearers import Hearers
+from cedarledge.net.interfaces import Frontend, Observer
 from cedarledge.net.invariants import Invariants
 from cedarledge.net.lines import BUFFER_SIZE
 from cedarledge.net.links import ConnectionContext
 from cedarledge.net.logs import begin_logging, log_to_stderr
-from cedarledge.net.module import MakeBalancer, Module
 from cedarledge.net.paces import Paces
+from cedarledge.net.policy_host import MakeBalancer, RelayPolicyHost
 from cedarledge.net.rate_limited_log import RateLimitedLog
 from cedarledge.net.reactor import install_reactor
-from cedarledge.net.seams import Front, Hearer
 from cedarledge.net.service import Service
-from cedarledge.net.slots import Slots
+from cedarledge.net.slots import SlotTable
 from cedarledge.net.timers import Timer, Timers, steady_clock
 from cedarledge.net.tunnels import Tunnels
 from cedarledge.policy import Balancer
@@ -46,7 +46,7 @@
 
 # Descriptors for what is no line connection: standard streams, the listener, discovery, the reactor's own.
 OWN_FILES = 24
-# More for the operators' front, where there is one: its callers, those about to leave, its listener.
+# More for the operators' frontend, where there is one: its callers, those about to leave, its listener.
 CONTROL_FILES = 28
 # The platform kills a relay no sooner than the longest client timeout, this at most, and a little more after
 # SIGTERM; new connections go on coming for a while.
@@ -81,21 +81,21 @@
         self.timers = Timers(reactor, self.clock)
         files = _may_hold(orders.sockets)
         most = files - OWN_FILES - (CONTROL_FILES if orders.control else 0)
-        if most < 2 * SPARE_LINKS:
+        if most < 2 * RESERVED_SLOTS:
             raise BadConfigError(f"{files} descriptors are too few")
         self.context = ConnectionContext(
             reactor,
             self.clock,
             self.timers,
             Pool(BUFFER_SIZE, most),
-            Slots(most),
+            SlotTable(most),
             RateLimitedLog(self.timers),
             Invariants(),
         )
         self.hearers = Hearers(self.clock, self.timers)
-        self.module = Module(self.clock, self.timers)
+        self.policy_host = RelayPolicyHost(self.clock, self.timers)
         try:
-            self.boxes = BoxList(self.module, self.hearers, settings)
+            self.boxes = BoxList(self.policy_host, self.hearers, settings)
             # Names may be numbers there; on the wire they are words.
             self.profiles, tenants = (
                 {str(row["name"]): place for place, row in enumerate(settings.get(kind) or ())}
@@ -117,17 +117,17 @@
                 int(orders.known["revision"]),
                 facts.ask_every,
                 not facts.must_ask,
-                self.module.chance,
+                self.policy_host.random,
                 self.boxes.told,
                 self.boxes.lost,
                 self.boxes.start_times.list_current,
             )
             self.tunnels = Tunnels(
                 self.context,
-                self.module,
+                self.policy_host,
                 self.boxes,
                 self.hearers,
-                (most - SPARE_LINKS - min(len(known), SPARE_LINKS)) // 2,
+                (most - RESERVED_SLOTS - min(len(known), RESERVED_SLOTS)) // 2,
                 self.profiles,
                 tenants,
                 waits,
@@ -138,7 +138,7 @@
             self.backends = Backends(
                 self.context,
                 self.tunnels,
-                self.probe_over,
+                self.probe_ended,
                 ReportReader(settings),
                 Paces((facts.tightest or min(goals)) // 5),
                 connect_within,
@@ -152,17 +152,19 @@
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as why:
             raise BadConfigError(f"the settings can't be used: {why!r}") from why
         slow = facts.tightest // 3 if tells else 0
-        self.reported, in_lines = (Delays(self.clock, slow, self.delay_told) for _ in range(2))
-        self.tunnels.join(self.backends, Echoes(self.clock, self.timers, in_lines, self.tunnels.silent))
-        self.module.join(self.tunnels, self.backends, self.boxes, self.watching)
-        self.front: Front = Listener(self.context, self.tunnels)
-        self.service = Service(self.timers, self.module, self.boxes, self.tunnels, self.backends, self.front)
+        self.reported, in_lines = (Delays(self.clock, slow, self.message_delayed) for _ in range(2))
+        self.tunnels.connect(self.backends, Echoes(self.clock, self.timers, in_lines, self.tunnels.silent))
+        self.policy_host.connect(self.tunnels, self.backends, self.boxes, self.watching)
+        self.frontend: Frontend = Listener(self.context, self.tunnels)
+        self.service = Service(
+            self.timers, self.policy_host, self.boxes, self.tunnels, self.backends, self.frontend
+        )
         self.audit = Audit(self.timers, self.tunnels, self.context.invariants)
         self.handover: Handover | None = None
         self.ended = False
         self._reload_again: Timer | None = None
-        self.listeners: list[Hearer] = []
-        self.module.start(facts, balancer)
+        self.listeners: list[Observer] = []
+        self.policy_host.start(facts, balancer)
         self.boxes.take_in(ListForm.RESTORED, orders.known["members"])
         if not facts.must_ask:
             # Where the module is told of changes unasked, it leaves the asking to its host.
@@ -181,7 +183,7 @@
                 self.service,
                 self.boxes,
                 self.tunnels,
-                self.front,
+                self.frontend,
                 self.watching,
             )
         if orders.control is not None:
@@ -190,7 +192,7 @@
             Control(self.context, self.service, self.handover).open(orders.control)
         if self.handover is not None:
             self.handover.take_over()
-        self.front.open(orders.listen, orders.inherited)
+        self.frontend.open(orders.listen, orders.inherited)
         self.audit.start()
         self.service.opened = True
         if self.handover is not None:
@@ -198,19 +200,19 @@
 
     # -- what is heard of backends beside their tunnels --------------------------------------------
 
-    def delay_told(self, backend_id: int, delay: int) -> None:
+    def message_delayed(self, backend_id: int, delay: int) -> None:
         logger.debug("a message takes {} ms at {}", delay // MS, self.boxes.backend_ids.names[backend_id])
-        self.module.tell(self.module.balancer.delay_told, backend_id, delay)
+        self.policy_host.call(self.policy_host.balancer.delay_told, backend_id, delay)
 
-    def probe_over(self, backend_id: int, answered: bool, report: LoadReport) -> None:
+    def probe_ended(self, backend_id: int, answered: bool, report: LoadReport) -> None:
         logger.debug("probe of {}: {}, {}", self.boxes.backend_ids.names[backend_id], answered, report)
         if report.service_time is not None:
             # The clients' lines don't tell how long messages take; what a backend says of itself does.
             self.reported.took(backend_id, int(report.service_time))
-        self.module.tell(self.module.balancer.probed, backend_id, answered, report)
+        self.policy_host.call(self.policy_host.balancer.probed, backend_id, answered, report)
         self.hearers.tell("probed", backend_id, answered, report)
 
-    def listens(self, hearer: Hearer) -> None:
+    def add_observer(self, hearer: Observer) -> None:
         """Adds a hearer that stays whatever the operator's file says later."""
         self.listeners.append(hearer)
         self.hearers.add(hearer)
@@ -236,9 +238,9 @@
         logger.info("configuration read again: discovery at {}:{}", *orders.discovery)
         self.watching.move_to(orders.discovery)
         if wanted is not None:
-            self.follow(wanted)
+            self.apply_operator_file(wanted)
 
-    def follow(self, wanted: OperatorFile) -> None:
+    def apply_operator_file(self, wanted: OperatorFile) -> None:
         """The operator's file takes effect, at the start and on SIGHUP."""
         log_to_stderr(wanted.log.level, wanted.log.form, wanted.log.waiting_kb << 10)
         self.hearers.clear()
@@ -266,10 +268,13 @@
         wait, within = 0, self.stop_within * 2 // 3
         # Where clients wait for a few hundred ms this process is killed before a second is over.
         newcomers_for = 0 if self.service.replaced else min(NEWCOMERS_MOST, NEWCOMERS_FOR + self.stop_within)
-        if not self.service.replaced and self.tunnels.refugees.read(self.clock()) > REFUGEES * held:
+        if (
+            not self.service.replaced
+            and self.tunnels.net_returned_clients.read(self.clock()) > REFUGEES * held
+        ):
             wait = int(LATE * self.stop_within)
             within = self.stop_within + KILL_LATER - wait
-        self.timers.after(wait, self.module.tell, self.module.balancer.stopping, within)
+        self.timers.after(wait, self.policy_host.call, self.policy_host.balancer.stopping, within)
         # Where this process was paused, connections that came meanwhile wait to be accepted, and lines to be
         # read: looked at first, as the end would reset them without an answer.
         self.timers.after_reading(STOP_LOOK, self._end_if_empty, self.clock() + newcomers_for)
@@ -288,8 +293,8 @@
         if not looks:
             self._end()
             return
-        self.tunnels.end_all()
-        self.front.turn_away()
+        self.tunnels.close_all()
+        self.frontend.turn_away()
         self.timers.after(STOP_LOOK, self._answer_all, looks - 1)
 
     def _end(self) -> None:
@@ -319,7 +324,7 @@
     reactor = install_reactor()
     relay = Relay(reactor, orders, balancer)
     if wanted is not None:
-        relay.follow(wanted)
+        relay.apply_operator_file(wanted)
     if signals.told_to_end():
         logger.info("told to end before it served")
         return 0
@@ -331,7 +336,7 @@
         "{} listens, {} backends known, room for {} tunnels",
         orders.name,
         len(relay.boxes.ready),
-        relay.tunnels.table.most,
+        relay.tunnels.table.capacity,
     )
     if joins is not None and wanted is not None:
         joins(relay, orders, wanted)
--- a/cedarledge/net/request_guard.py
+++ b/cedarledge/net/request_guard.py
@@ -13,7 +13,7 @@
 from cedarledge.terms import MS, NEVER_RAN, Dedup, Effect, Outcome, ProfileRow
 
 # What the platform allows past each time limit on sockets.
-GRACE = 50 * MS
+TIME_LIMIT_GRACE = 50 * MS
 # Where an entry of the list says what a deduplication group shares.
 GROUP_FIELDS = {Dedup.ZONE: "locality", Dedup.CELL: "cell"}
 
@@ -34,7 +34,7 @@
         return self.outcome not in NEVER_RAN
 
 
-class RequestLog:
+class RequestRecord:
     """What was done for one request, from its arrival to its final answer."""
 
     __slots__ = ("answer", "attempts", "deadline", "request_class", "request_id")
@@ -88,28 +88,28 @@
         self._listed = listed
         self._names = names
 
-    def story(self, request: RequestLog) -> str:
+    def story(self, request: RequestRecord) -> str:
         """What the log says of a request."""
         return request.story(self._names, self._clock())
 
-    def attempt(self, request: RequestLog, backend_id: int) -> None:
+    def attempt(self, request: RequestRecord, backend_id: int) -> None:
         """One begins, as may_attempt has allowed."""
         request.attempts.append(Attempt(backend_id, self._clock(), self._listed.get(backend_id)))
 
-    def may_attempt(self, request: RequestLog, backend_id: int, is_ready: bool) -> bool:
+    def may_attempt(self, request: RequestRecord, backend_id: int, is_ready: bool) -> bool:
         """Whether an attempt may begin now; is_ready: the backend takes new connections."""
         violation = self._attempt_violation(request, backend_id, is_ready)
         if violation is not None:
             self._broken(violation, request, f" at {self._names[backend_id]}")
         return violation is None
 
-    def _attempt_violation(self, request: RequestLog, backend_id: int, is_ready: bool) -> Invariant | None:
+    def _attempt_violation(self, request: RequestRecord, backend_id: int, is_ready: bool) -> Invariant | None:
         now = self._clock()
         if request.answer:
             return Invariant.ATTEMPT_AFTER_ANSWER
         if any(attempt.outcome is None for attempt in request.attempts):
             return Invariant.TWO_ATTEMPTS
-        if request.deadline and now >= request.deadline + GRACE:
+        if request.deadline and now >= request.deadline + TIME_LIMIT_GRACE:
             return Invariant.ATTEMPT_PAST_DEADLINE
         if not is_ready:
             return Invariant.ATTEMPT_AT_DRAINING
@@ -117,19 +117,19 @@
             return Invariant.REPEATED_EFFECT
         return None
 
-    def _may_repeat(self, request: RequestLog, backend_id: int, now: int) -> bool:
+    def _may_repeat(self, request: RequestRecord, backend_id: int, now: int) -> bool:
         executed = request.executed()
         if executed is None or not self._classes:
             return True
         row = self._classes[request.request_class]
         if row.effect is not Effect.REFERENCED:
             return row.effect is Effect.REPEATABLE
-        if now >= executed.began + row.window + GRACE:
+        if now >= executed.began + row.window + TIME_LIMIT_GRACE:
             return False
         field = GROUP_FIELDS.get(row.dedup)
         return field is None or _value(executed.entry, field) == _value(self._listed.get(backend_id), field)
 
-    def may_reject(self, request: RequestLog) -> bool:
+    def may_reject(self, request: RequestRecord) -> bool:
         """Whether its client may be told that another request is harmless."""
         if not self._classes or request.executed() is None:
             return True
@@ -141,14 +141,14 @@
             self._broken(Invariant.REJECTED_EFFECT, request)
         return is_harmless
 
-    def answered(self, request: RequestLog, word: str) -> None:
+    def answered(self, request: RequestRecord, word: str) -> None:
         """Its final answer is out."""
         now = self._clock()
         if request.answer:
             self._broken(Invariant.SECOND_ANSWER, request, f": {word} after {request.answer}")
-        elif request.deadline and now > request.deadline + GRACE:
+        elif request.deadline and now > request.deadline + TIME_LIMIT_GRACE:
             self._broken(Invariant.LATE_ANSWER, request, f": {word}")
         request.answer = word
 
-    def _broken(self, invariant: Invariant, request: RequestLog, more: str = "") -> None:
+    def _broken(self, invariant: Invariant, request: RequestRecord, more: str = "") -> None:
         self.invariants.broken(invariant, self.story(request) + more)
--- a/cedarledge/net/service.py
+++ b/cedarledge/net/service.py
@@ -6,8 +6,8 @@
 
 from cedarledge.net.backends import Backends
 from cedarledge.net.boxlist import BoxList
-from cedarledge.net.module import Module
-from cedarledge.net.seams import Front
+from cedarledge.net.interfaces import Frontend
+from cedarledge.net.policy_host import RelayPolicyHost
 from cedarledge.net.timers import Timer, Timers
 from cedarledge.net.tunnels import Tunnels
 from cedarledge.terms import MS
@@ -27,18 +27,18 @@
     def __init__(
         self,
         timers: Timers,
-        module: Module,
+        policy_host: RelayPolicyHost,
         boxes: BoxList,
         tunnels: Tunnels,
         backends: Backends,
-        front: Front,
+        frontend: Frontend,
     ) -> None:
         self.timers = timers
-        self.module = module
+        self.policy_host = policy_host
         self.boxes = boxes
         self.tunnels = tunnels
         self.backends = backends
-        self.front = front
+        self.frontend = frontend
         self.opened = False  # the clients' listener
         self.ending = self.replaced = False  # this process, by a newer one
         self.takes_over = False  # while the process before is still there
@@ -59,7 +59,7 @@
             return "a newer process serves"
         if not self.opened:
             return "the listener is not open yet"
-        if self.front.away and not self.takes_over:
+        if self.frontend.out_of_service and not self.takes_over:
             # A process that took over from one out of service is what that one's end waits for.
             return "out of service"
         if not self.boxes.heard and not self.boxes.ready:
@@ -67,22 +67,22 @@
         return ""
 
     def go_out(self) -> None:
-        if self.front.away:
+        if self.frontend.out_of_service:
             return
-        self.front.away = True
+        self.frontend.out_of_service = True
         logger.info("out of service: {} tunnels are sent away", self.tunnels.table.used)
         if not self.ending:
-            self.module.tell(self.module.balancer.stopping, EMPTY_WITHIN)
-            self._sweep = self.timers.after_reading(ANSWER_ALL_AFTER, self.tunnels.end_all)
+            self.policy_host.call(self.policy_host.balancer.stopping, EMPTY_WITHIN)
+            self._sweep = self.timers.after_reading(ANSWER_ALL_AFTER, self.tunnels.close_all)
 
     def come_in(self) -> None:
-        if not self.front.away:
+        if not self.frontend.out_of_service:
             return
-        self.front.away = False
+        self.frontend.out_of_service = False
         logger.info("in service again with {} tunnels", self.tunnels.table.used)
         if not self.ending:
             self.timers.cancel(self._sweep)
-            self.module.tell(self.module.balancer.staying)
+            self.policy_host.call(self.policy_host.balancer.staying)
 
     def take_out(self, name: str) -> None:
         backend_id = self._known(name)
--- a/cedarledge/net/slots.py
+++ b/cedarledge/net/slots.py
@@ -7,58 +7,62 @@
 Holder = TypeVar("Holder")
 
 
-class FullError(Exception):
+class NoFreeSlotError(Exception):
     """No slot is free."""
 
 
-class Slots(Generic[Holder]):
-    """A table of at most so many holders.
+class SlotTable(Generic[Holder]):
+    """A table of at most `capacity` holders.
 
-    A handle names a slot and the turn in which it was taken, so that what comes late for one holder never
-    reaches the slot's next.
+    A handle names a slot and the generation in which it was taken, so that what comes late for one holder
+    never reaches the slot's next.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
         self.used = 0
-        self.lent = 0  # that another process has for now
+        self.reserved = 0  # that another process has for now
         self._holders: list[Holder | None] = []
-        self._turns: list[int] = []
-        self._free: list[int] = []
+        self._generations: list[int] = []
+        self._free_places: list[int] = []
 
     @property
-    def left(self) -> int:
-        return self.most - self.used - self.lent
+    def free(self) -> int:
+        return self.capacity - self.used - self.reserved
 
-    def take(self, holder: Holder) -> int:
-        if self.left <= 0:
-            raise FullError(f"all {self.most} slots are taken")
-        if self._free:
-            place = self._free.pop()
+    def allocate(self, holder: Holder) -> int:
+        if self.free <= 0:
+            raise NoFreeSlotError(f"all {self.capacity} slots are taken")
+        if self._free_places:
+            place = self._free_places.pop()
         else:
             place = len(self._holders)
             self._holders.append(None)
-            self._turns.append(0)
+            self._generations.append(0)
         self._holders[place] = holder
         self.used += 1
-        return self._turns[place] * self.most + place
+        return self._generations[place] * self.capacity + place
 
     def get(self, handle: int) -> Holder | None:
-        turn, place = divmod(handle, self.most)
-        return self._holders[place] if place < len(self._turns) and self._turns[place] == turn else None
+        generation, place = divmod(handle, self.capacity)
+        return (
+            self._holders[place]
+            if place < len(self._generations) and self._generations[place] == generation
+            else None
+        )
 
-    def give_back(self, handle: int) -> None:
-        turn, place = divmod(handle, self.most)
-        if self._turns[place] != turn or self._holders[place] is None:
+    def release(self, handle: int) -> None:
+        generation, place = divmod(handle, self.capacity)
+        if self._generations[place] != generation or self._holders[place] is None:
             raise KeyError(handle)
         self._holders[place] = None
-        self._turns[place] += 1
-        self._free.append(place)
+        self._generations[place] += 1
+        self._free_places.append(place)
         self.used -= 1
 
     def handles(self) -> list[int]:
         return [
-            turn * self.most + place
-            for place, turn in enumerate(self._turns)
+            generation * self.capacity + place
+            for place, generation in enumerate(self._generations)
             if self._holders[place] is not None
         ]
--- a/cedarledge/net/tunnels.py
+++ b/cedarledge/net/tunnels.py
@@ -9,15 +9,15 @@
 
 from cedarledge.net.backends import Backends, SetupLink
 from cedarledge.net.boxlist import BoxList
-from cedarledge.net.clients import Opening
+from cedarledge.net.clients import OpenRequest
 from cedarledge.net.echoes import Echo, Echoes
 from cedarledge.net.hearers import Hearers
-from cedarledge.net.lines import figure
+from cedarledge.net.interfaces import ClientConnection
+from cedarledge.net.lines import parse_finite
 from cedarledge.net.links import ConnectionContext
-from cedarledge.net.module import Module
-from cedarledge.net.request_guard import RequestGuard, RequestLog
-from cedarledge.net.seams import ClientEnd
-from cedarledge.net.slots import FullError, Slots
+from cedarledge.net.policy_host import RelayPolicyHost
+from cedarledge.net.request_guard import RequestGuard, RequestRecord
+from cedarledge.net.slots import NoFreeSlotError, SlotTable
 from cedarledge.policy.estimators import DecayingSum
 from cedarledge.terms import MS, SECOND, LoadReport, Outcome, ProfileRow
 
@@ -40,35 +40,44 @@
     __slots__ = (
         "began",
         "client",
+        "closed",
         "echo",
-        "known",
-        "opening",
-        "over",
+        "is_open",
+        "known_to_policy",
+        "open_request",
         "profile",
         "request",
         "setup",
         "tenant",
-        "up",
     )
 
     def __init__(
-        self, client: ClientEnd, opening: Opening, profile: int, tenant: int | None, began: int
+        self,
+        client: ClientConnection,
+        open_request: OpenRequest,
+        profile: int,
+        tenant: int | None,
+        began: int,
     ) -> None:
         self.client = client
-        self.opening = opening
+        self.open_request = open_request
         self.profile = profile
         self.tenant = tenant
         self.began = began
-        self.request = RequestLog(opening.id, profile, began + opening.wait if opening.at is None else 0)
+        self.request = RequestRecord(
+            open_request.id,
+            profile,
+            began + open_request.client_timeout if open_request.previous_backend is None else 0,
+        )
         self.setup: SetupLink | None = None
         self.echo: Echo | None = None
-        self.known = False  # to the decision module
-        self.up = self.over = False
+        self.known_to_policy = False
+        self.is_open = self.closed = False
 
 
 class Tunnels:
-    """All tunnels of a relay, whatever front they came by: a seams.Taker for the clients' side, a
-    backends.Watcher for the other."""
+    """All tunnels of a relay, whatever front they came by: an interfaces.RequestHandler for the clients'
+    side, a backends.Watcher for the other."""
 
     backends: Backends
     echoes: Echoes
@@ -76,7 +85,7 @@
     def __init__(
         self,
         context: ConnectionContext,
-        module: Module,
+        policy_host: RelayPolicyHost,
         boxes: BoxList,
         hearers: Hearers,
         most: int,
@@ -92,23 +101,23 @@
         )
         self.clock = context.clock
         self.timers = context.timers
-        self.module = module
+        self.policy_host = policy_host
         self.boxes = boxes
         self.hearers = hearers
-        self.table: Slots[Tunnel] = Slots(most)
+        self.table: SlotTable[Tunnel] = SlotTable(most)
         self.ids: set[str] = set()  # of all tunnels here, as their clients named them
-        self.ids_before: frozenset[str] = frozenset()  # at the process that this one takes over from
+        self.predecessor_ids: frozenset[str] = frozenset()  # at the process that this one takes over from
         self.profiles = profiles
         self.tenants = tenants
         self.waits = waits
         self.connect_within = connect_within
         self._counts: Counter[str] = Counter()
-        self.begun = False  # somebody has come who was not open before the run
+        self.saw_new_request = False  # somebody has come who was not open before the run
         # Clients that came back here less those that were sent away from here: more come than go while
         # another relay is down, and about as many where a backend is.
-        self.refugees = DecayingSum(LATELY)
+        self.net_returned_clients = DecayingSum(LATELY)
 
-    def join(self, backends: Backends, echoes: Echoes) -> None:
+    def connect(self, backends: Backends, echoes: Echoes) -> None:
         self.backends = backends
         self.echoes = echoes
 
@@ -139,11 +148,11 @@
                 tunnel_id,
                 backend_id,
                 self.boxes.addresses[backend_id],
-                tunnel.opening.head,
+                tunnel.open_request.line_for_backend,
                 timeout,
                 connect_within,
             )
-        except FullError:
+        except NoFreeSlotError:
             self._not_sent(tunnel_id, backend_id)
 
     def decline(self, tunnel_id: int, come_back: int) -> None:
@@ -151,27 +160,27 @@
         if not self.guard.may_reject(tunnel.request):
             self.close_with_error(tunnel_id)
             return
-        tunnel.client.decline(come_back)
+        tunnel.client.reject(come_back)
         self.context.rate_limited_log.about("rejected", lambda: self.guard.story(tunnel.request))
         self._answered(tunnel_id, True)
 
     def close_with_error(self, tunnel_id: int) -> None:
         tunnel = self.table.get(tunnel_id)
-        tunnel.client.fail()
+        tunnel.client.send_error()
         self.context.rate_limited_log.about("failed", lambda: self.guard.story(tunnel.request))
         self._answered(tunnel_id, False)
 
     def move(self, tunnel_id: int) -> None:
         tunnel = self.table.get(tunnel_id)
-        if tunnel is None or tunnel.over or not tunnel.up:
+        if tunnel is None or tunnel.closed or not tunnel.is_open:
             return
         setup = tunnel.setup
         logger.debug("tunnel {} is moved off {}", tunnel_id, self.boxes.backend_ids.names[setup.backend_id])
-        self.refugees.add(self.clock(), -1)
+        self.net_returned_clients.add(self.clock(), -1)
         self._counts["moved"] += 1
         self._part(tunnel)
         tunnel.request.attempt_ended(Outcome.CANCELLED)
-        tunnel.client.move()
+        tunnel.client.send_move()
         setup.call_off()
         self.hearers.tell("moved", tunnel_id, setup.backend_id)
         # The module is in the midst of moving, so it hears of the end afterwards.
@@ -179,73 +188,78 @@
 
     # -- what the clients' side tells --------------------------------------------------------------
 
-    def arrived(self, client: ClientEnd, opening: Opening) -> int:
+    def request_arrived(self, client: ClientConnection, open_request: OpenRequest) -> int:
         try:
-            profile = self.profiles[opening.profile]
-            tenant = None if opening.tenant is None else self.tenants[opening.tenant]
+            profile = self.profiles[open_request.profile]
+            tenant = None if open_request.tenant is None else self.tenants[open_request.tenant]
         except KeyError as why:
             client.bad_input(f"nothing is called {why}")
             return -1
-        if opening.at is None and opening.wait > LONGER * self.waits[profile]:
-            client.bad_input(f"{opening.profile} does not wait for {opening.wait // MS} ms")
+        if (
+            open_request.previous_backend is None
+            and open_request.client_timeout > LONGER * self.waits[profile]
+        ):
+            client.bad_input(
+                f"{open_request.profile} does not wait for {open_request.client_timeout // MS} ms"
+            )
             return -1
-        if opening.id in self.ids or opening.id in self.ids_before:
+        if open_request.id in self.ids or open_request.id in self.predecessor_ids:
             # Two of one id would be told apart by nobody behind this relay, and the first is the one served.
-            client.bad_input(f"{opening.id[:40]} is open already")
+            client.bad_input(f"{open_request.id[:40]} is open already")
             return -1
-        tunnel = Tunnel(client, opening, profile, tenant, self.clock())
+        tunnel = Tunnel(client, open_request, profile, tenant, self.clock())
         try:
-            tunnel_id = self.table.take(tunnel)
-        except FullError:
+            tunnel_id = self.table.allocate(tunnel)
+        except NoFreeSlotError:
             self.context.rate_limited_log.about("client", "no slot is left for a tunnel")
-            client.decline(0)
+            client.reject(0)
             return -1
-        self.ids.add(opening.id)
+        self.ids.add(open_request.id)
         self._counts["taken"] += 1
-        self.hearers.tell("arrived", tunnel_id, profile, opening.returning)
-        if opening.at is not None:
+        self.hearers.tell("arrived", tunnel_id, profile, open_request.returning)
+        if open_request.previous_backend is not None:
             self._adopt(tunnel_id)
             return tunnel_id
-        tunnel.known = self.begun = True
-        if opening.returning:
-            self.refugees.add(self.clock(), 1)
-        if not self.module.tell(
-            self.module.balancer.tunnel_arrived,
+        tunnel.known_to_policy = self.saw_new_request = True
+        if open_request.returning:
+            self.net_returned_clients.add(self.clock(), 1)
+        if not self.policy_host.call(
+            self.policy_host.balancer.tunnel_arrived,
             tunnel_id,
             profile,
             tenant,
-            opening.key,
-            opening.group,
-            max(MS, opening.wait - WAY_BACK),
-            opening.hint,
-            opening.returning,
+            open_request.key,
+            open_request.group,
+            max(MS, open_request.client_timeout - WAY_BACK),
+            open_request.load_hint,
+            open_request.returning,
         ):
-            self.abandon(tunnel_id)
+            self.fail_request(tunnel_id)
         return tunnel_id
 
-    def lines_on(self, tunnel_id: int, lines: list[bytes]) -> None:
+    def lines_from_client(self, tunnel_id: int, lines: list[bytes]) -> None:
         tunnel = self.table.get(tunnel_id)
-        if tunnel is None or tunnel.over:
+        if tunnel is None or tunnel.closed:
             return
         tunnel.setup.send_lines(lines)
         tunnel.echo.asked()
 
-    def client_ended(self, tunnel_id: int, abrupt: bool) -> None:
+    def client_closed(self, tunnel_id: int, abrupt: bool) -> None:
         tunnel = self.table.get(tunnel_id)
-        if tunnel is None or tunnel.over:
+        if tunnel is None or tunnel.closed:
             return
-        setup, was_up = tunnel.setup, tunnel.up
+        setup, was_up = tunnel.setup, tunnel.is_open
         self._counts["left"] += 1
         self._part(tunnel)
-        if tunnel.known and not was_up:
-            self.module.tell(self.module.balancer.client_gone, tunnel_id)
+        if tunnel.known_to_policy and not was_up:
+            self.policy_host.call(self.policy_host.balancer.client_gone, tunnel_id)
         if setup is not None:
             setup.call_off(abrupt)
             outcome = Outcome.CANCELLED if setup.written else Outcome.NOT_SENT
             tunnel.request.attempt_ended(outcome)
-            if tunnel.known:
-                self.module.tell(
-                    self.module.balancer.setup_ended,
+            if tunnel.known_to_policy:
+                self.policy_host.call(
+                    self.policy_host.balancer.setup_ended,
                     tunnel_id,
                     setup.backend_id,
                     True,
@@ -260,10 +274,10 @@
     def _adopt(self, tunnel_id: int) -> None:
         """Brings up a connection that was open before, at its own backend and no other."""
         tunnel = self.table.get(tunnel_id)
-        if tunnel is None or tunnel.over:
+        if tunnel is None or tunnel.closed:
             return
         age = self.clock() - tunnel.began
-        backend_id = self.boxes.backend_ids.get(tunnel.opening.at)
+        backend_id = self.boxes.backend_ids.get(tunnel.open_request.previous_backend)
         if age >= ADOPT_WITHIN or backend_id in self.boxes.banned:
             self.close_with_error(tunnel_id)
         elif backend_id in self.boxes.addresses:
@@ -274,7 +288,7 @@
         else:
             if age < ADOPT_AGAIN:
                 # The first call may be put off, as all relays start together; who waits for it may not.
-                self.module.watch()
+                self.policy_host.watch()
             self.timers.after(ADOPT_AGAIN, self._adopt, tunnel_id)
 
     # -- what the backends' side tells -------------------------------------------------------------
@@ -286,13 +300,17 @@
         return (
             tunnel is not None
             and backend_id not in self.boxes.banned
-            and (backend_id in self.boxes.ready or not tunnel.known)
+            and (backend_id in self.boxes.ready or not tunnel.known_to_policy)
         )
 
     def client_waits(self, tunnel_id: int) -> int:
         """How long the client still waits for its answer, in ns; below 0: no longer."""
         tunnel = self.table.get(tunnel_id)
-        return -1 if tunnel is None else tunnel.began + tunnel.opening.wait - WAY_BACK - self.clock()
+        return (
+            -1
+            if tunnel is None
+            else tunnel.began + tunnel.open_request.client_timeout - WAY_BACK - self.clock()
+        )
 
     def client_has_left(self, tunnel_id: int) -> bool:
         tunnel = self.table.get(tunnel_id)
@@ -306,35 +324,35 @@
             self.boxes.backend_ids.names[tunnel.setup.backend_id],
             took // MS,
         )
-        tunnel.up = True
+        tunnel.is_open = True
         self._counts["opened"] += 1
         self.guard.answered(tunnel.request, "UP")
         setup, client = tunnel.setup, tunnel.client
         tunnel.echo = Echo(self.echoes, tunnel_id, setup.backend_id)
-        client.opened(line)
+        client.accept(line)
         # A side that reads slowly holds up the other one's reading, not this relay's memory.
         client.transport.registerProducer(setup.transport, True)
         setup.transport.registerProducer(client.transport, True)
-        if tunnel.known:
-            self.module.tell(self.module.balancer.opened, tunnel_id, took)
+        if tunnel.known_to_policy:
+            self.policy_host.call(self.policy_host.balancer.opened, tunnel_id, took)
         else:
-            opening = tunnel.opening
-            tunnel.known = True
-            self.module.tell(
-                self.module.balancer.adopted,
+            open_request = tunnel.open_request
+            tunnel.known_to_policy = True
+            self.policy_host.call(
+                self.policy_host.balancer.adopted,
                 tunnel_id,
                 tunnel.profile,
                 tunnel.tenant,
-                opening.key,
-                opening.group,
+                open_request.key,
+                open_request.group,
                 setup.backend_id,
-                opening.hint,
+                open_request.load_hint,
             )
         self.hearers.tell("opened", tunnel_id, setup.backend_id, took)
 
     def lines_back(self, tunnel_id: int, lines: list[bytes]) -> None:
         tunnel = self.table.get(tunnel_id)
-        if tunnel is None or tunnel.over:
+        if tunnel is None or tunnel.closed:
             return
         tunnel.client.send_lines(lines)
         for line in lines:
@@ -342,11 +360,11 @@
                 tunnel.echo.answered()
                 continue
             try:
-                load = figure(line[5:].decode("ascii"))
+                load = parse_finite(line[5:].decode("ascii"))
             except ValueError:
                 self.context.rate_limited_log.about("backend", f"no load: {line[:80]!r}")
                 continue
-            self.module.tell(self.module.balancer.load_told, tunnel_id, load)
+            self.policy_host.call(self.policy_host.balancer.load_told, tunnel_id, load)
 
     def setup_over(
         self,
@@ -360,8 +378,8 @@
         tunnel = self.table.get(tunnel_id)
         if tunnel is None:
             # No slot was found for it, and its client has left since. The module counts it still.
-            self.module.tell(
-                self.module.balancer.setup_ended, tunnel_id, backend_id, True, outcome, took, report
+            self.policy_host.call(
+                self.policy_host.balancer.setup_ended, tunnel_id, backend_id, True, outcome, took, report
             )
             return
         logger.debug(
@@ -370,31 +388,34 @@
             self.boxes.backend_ids.names[backend_id],
             outcome.name,
             took // MS,
-            tunnel.up,
+            tunnel.is_open,
         )
-        was_open = tunnel.up
+        was_open = tunnel.is_open
         tunnel.request.attempt_ended(outcome)
         self._part(tunnel, over=was_open)
         self.hearers.tell("setup_over", tunnel_id, backend_id, outcome, took, was_open)
         if was_open:
             if outcome is not Outcome.DONE:
-                self.refugees.add(self.clock(), -1)
+                self.net_returned_clients.add(self.clock(), -1)
             if abrupt and outcome is Outcome.RESET:
                 tunnel.client.abort()
             else:
                 tunnel.client.finish()
-        if not tunnel.known:
+        if not tunnel.known_to_policy:
             # Where others have come already the run has begun, which it does not while one of these waits:
             # only a stranger asks now, and is not to hold a slot and press a backend for as long.
-            if outcome in (Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.NOT_SENT) and not self.begun:
+            if (
+                outcome in (Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.NOT_SENT)
+                and not self.saw_new_request
+            ):
                 self.timers.after(ADOPT_AGAIN, self._adopt, tunnel_id)
             else:
                 self.close_with_error(tunnel_id)
             return
-        if not self.module.tell(
-            self.module.balancer.setup_ended, tunnel_id, backend_id, was_open, outcome, took, report
+        if not self.policy_host.call(
+            self.policy_host.balancer.setup_ended, tunnel_id, backend_id, was_open, outcome, took, report
         ):
-            self.abandon(tunnel_id)
+            self.fail_request(tunnel_id)
         if was_open:
             self._free(tunnel_id)
 
@@ -406,20 +427,20 @@
         tunnel = self.table.get(tunnel_id)
         self._counts["silent"] += 1
         logger.info("silent: {}", self.guard.story(tunnel.request))
-        self.module.tell(self.module.balancer.silent, tunnel_id)
+        self.policy_host.call(self.policy_host.balancer.silent, tunnel_id)
 
     # -- the end of a tunnel -----------------------------------------------------------------------
 
     def _moved(self, tunnel_id: int, backend_id: int, took: int) -> None:
-        self.module.tell(
-            self.module.balancer.setup_ended, tunnel_id, backend_id, True, Outcome.CANCELLED, took, None
+        self.policy_host.call(
+            self.policy_host.balancer.setup_ended, tunnel_id, backend_id, True, Outcome.CANCELLED, took, None
         )
         self._free(tunnel_id)
 
     def _part(self, tunnel: Tunnel, over: bool = True) -> None:
         """The tunnel lets go of its setup, and with over of all else but its slot."""
         tunnel.setup = None
-        tunnel.over = tunnel.over or over
+        tunnel.closed = tunnel.closed or over
         if over and tunnel.echo is not None:
             tunnel.echo.close()
 
@@ -432,36 +453,36 @@
         self.hearers.tell("answered", tunnel_id, declined, self.clock() - tunnel.began)
         self._free(tunnel_id)
 
-    def abandon(self, tunnel_id: int) -> None:
+    def fail_request(self, tunnel_id: int) -> None:
         """The module failed on this tunnel: its client still gets an answer."""
         tunnel = self.table.get(tunnel_id)
-        if tunnel is not None and not tunnel.over:
+        if tunnel is not None and not tunnel.closed:
             self.guard.answered(tunnel.request, "ERR")
-            self.client_ended(tunnel_id, abrupt=False)
-            tunnel.client.fail()
+            self.client_closed(tunnel_id, abrupt=False)
+            tunnel.client.send_error()
 
-    def answer_waiting(self) -> None:
+    def fail_waiting_requests(self) -> None:
         """The module failed, on which tunnels is not known: all that have no setup out, and wait for it
         alone."""
         for tunnel_id in self.table.handles():
             tunnel = self.table.get(tunnel_id)
             # Each answer tells the module of its client's end, and it may fail on that too.
-            if tunnel is not None and tunnel.known and tunnel.setup is None:
-                self.abandon(tunnel_id)
+            if tunnel is not None and tunnel.known_to_policy and tunnel.setup is None:
+                self.fail_request(tunnel_id)
 
-    def end_all(self) -> None:
+    def close_all(self) -> None:
         """What is still held would be cut off, so it gets its answer or its MOVE."""
         for tunnel_id in self.table.handles():
             tunnel = self.table.get(tunnel_id)
             # The module may fail on one of them, and then all that waited have been answered already.
-            if tunnel is not None and tunnel.up:
+            if tunnel is not None and tunnel.is_open:
                 self.move(tunnel_id)
             elif tunnel is not None:
-                self.abandon(tunnel_id)
+                self.fail_request(tunnel_id)
 
     def _free(self, tunnel_id: int) -> None:
         """The one place where a tunnel's slot and its id are given back."""
         tunnel = self.table.get(tunnel_id)
         self.hearers.tell("ended", tunnel_id, self.clock() - tunnel.began)
-        self.ids.remove(tunnel.opening.id)
-        self.table.give_back(tunnel_id)
+        self.ids.remove(tunnel.open_request.id)
+        self.table.release(tunnel_id)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         self.ledger = ledger = Ledger(facts())
 
-        def tell(method: object, *args: object) -> bool:
+        def call(method: object, *args: object) -> bool:
             if method == ledger.balancer.list_changed:
                 form, entries = args
                 ledger.tell(form, *entries)
@@ -31,13 +31,13 @@
                 method(ledger.now, *args)
             return True
 
-        module = SimpleNamespace(
+        policy_host = SimpleNamespace(
             clock=lambda: ledger.now,
-            tell=tell,
+            call=call,
             balancer=ledger.balancer,
-            knows=lambda aside: ledger.balancer.knows(ledger.now, ExternalView(aside=aside)),
+            update_external_view=lambda aside: ledger.balancer.knows(ledger.now, ExternalView(aside=aside)),
         )
-        self.boxes = BoxList(module, SimpleNamespace(tell=lambda *_: None), {"dcs": ["z"]})
+        self.boxes = BoxList(policy_host, SimpleNamespace(tell=lambda *_: None), {"dcs": ["z"]})
         self.told(True, *[self.entry(name) for name in NAMES])
 
     def entry(self, name: str, phase: str = "up", started: int = 0) -> dict:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -46,7 +46,7 @@
 from cedarledge.net.links import LINGER, ConnectionContext, Link
 from cedarledge.net.rate_limited_log import RateLimitedLog
 from cedarledge.net.service import Service
-from cedarledge.net.slots import Slots
+from cedarledge.net.slots import SlotTable
 from cedarledge.net.timers import Timers
 from cedarledge.terms import ListForm, Outcome
 
@@ -534,7 +534,7 @@
 
     timers = Timers(clock, now)
     link = Link(
-        ConnectionContext(clock, now, timers, Pool(9, 1), Slots(1), RateLimitedLog(timers), Invariants())
+        ConnectionContext(clock, now, timers, Pool(9, 1), SlotTable(1), RateLimitedLog(timers), Invariants())
     )
     link.transport = Wire()
     link.connectionMade()
@@ -586,8 +586,8 @@
 @mark.parametrize(
     "place",
     [
-        "tunnels Tunnels arrived before",
-        "tunnels Tunnels arrived after",
+        "tunnels Tunnels request_arrived before",
+        "tunnels Tunnels request_arrived after",
         "backends SetupLink connect after",
         "backends SetupLink came_up before",
         "backends SetupLink came_up after",
@@ -1161,9 +1161,9 @@
         return round(clock.seconds() * SECOND)
 
     timers = Timers(clock, now)
-    module = SimpleNamespace(tell=lambda *_: None, balancer=SimpleNamespace(stopping=None))
-    tunnels = SimpleNamespace(table=SimpleNamespace(used=1), end_all=lambda: swept.append(now()))
-    service = Service(timers, module, None, tunnels, None, SimpleNamespace(away=False))
+    policy_host = SimpleNamespace(call=lambda *_: None, balancer=SimpleNamespace(stopping=None))
+    tunnels = SimpleNamespace(table=SimpleNamespace(used=1), close_all=lambda: swept.append(now()))
+    service = Service(timers, policy_host, None, tunnels, None, SimpleNamespace(out_of_service=False))
     service.go_out()
     clock.advance(5)
     assert not swept, "answers may lie unread"
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -17,7 +17,7 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from cedarledge.net import relay as relays
-from cedarledge.net.clients import read_opening
+from cedarledge.net.clients import parse_open_request
 from cedarledge.net.config import StartingOrders
 from cedarledge.settings import NEEDED, NEEDED_OF_PROFILES, check_settings
 from cedarledge.terms import LoadReport
@@ -112,12 +112,12 @@
             # In steps shorter than the grace of an answer: with longer ones each would come late.
             reactor.pump([0.05] * 5)
             for ep, load in enumerate(LOADS):
-                relay.probe_over(ep, True, LoadReport(asked=load))
+                relay.probe_ended(ep, True, LoadReport(asked=load))
             clients.append(Client())
             name, wait = rows[number % len(rows)]
-            relay.tunnels.arrived(
+            relay.tunnels.request_arrived(
                 clients[-1],
-                read_opening(f"OPEN i{number} k{number} c={name},d={wait},g=g{number % 3}".encode()),
+                parse_open_request(f"OPEN i{number} k{number} c={name},d={wait},g=g{number % 3}".encode()),
             )
         relay.stop()
         reactor.pump([0.05] * 120)
@@ -179,7 +179,7 @@
     told = WHOLE | {"profiles": [row | {"client_timeout": deadline * 1000} for row in WHOLE["profiles"]]}
     relay, reactor = assembled(told, monkeypatch)
     for _ in range(held):
-        relay.context.links.take(SimpleNamespace())
+        relay.context.links.allocate(SimpleNamespace())
     relay.stop()
     killed = min(3.0, deadline / 1000) + 0.7
     spent = 0.0
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -12,7 +12,7 @@
 from twisted.internet.task import Clock
 
 from cedarledge.net.invariants import Invariant, Invariants
-from cedarledge.net.request_guard import GRACE, RequestGuard, RequestLog
+from cedarledge.net.request_guard import TIME_LIMIT_GRACE, RequestGuard, RequestRecord
 from cedarledge.net.timers import Timers
 from cedarledge.terms import Outcome
 
@@ -35,10 +35,10 @@
         self.invariants = Invariants()
         self.guard = RequestGuard(self.invariants, lambda: self.now, facts().profiles, LISTED, NAMES)
 
-    def request(self, request_class: int = IDEMPOTENT) -> RequestLog:
-        return RequestLog("id", request_class, self.now + 3 * SECOND)
+    def request(self, request_class: int = IDEMPOTENT) -> RequestRecord:
+        return RequestRecord("id", request_class, self.now + 3 * SECOND)
 
-    def attempted(self, request: RequestLog, outcome: Outcome | None, backend: int = 0) -> RequestLog:
+    def attempted(self, request: RequestRecord, outcome: Outcome | None, backend: int = 0) -> RequestRecord:
         assert self.guard.may_attempt(request, backend, is_ready=True)
         self.guard.attempt(request, backend)
         if outcome is not None:
@@ -77,11 +77,11 @@
 
 def test_time_limits_have_the_platforms_grace_and_no_more(scene: Scene) -> None:
     request = scene.request()
-    scene.now = request.deadline + GRACE
+    scene.now = request.deadline + TIME_LIMIT_GRACE
     scene.guard.answered(request, "ERR")
     assert not scene.seen
     late = scene.request()
-    scene.now = late.deadline + GRACE + MS
+    scene.now = late.deadline + TIME_LIMIT_GRACE + MS
     assert not scene.guard.may_attempt(late, 1, is_ready=True)
     scene.guard.answered(late, "ERR")
     assert scene.seen == {Invariant.ATTEMPT_PAST_DEADLINE: 1, Invariant.LATE_ANSWER: 1}
@@ -106,7 +106,7 @@
     assert allowed == may_go_to
     assert scene.guard.may_reject(request) == may_reject
     window = facts().profiles[request_class].window
-    scene.now = request.attempts[0].began + window + GRACE
+    scene.now = request.attempts[0].began + window + TIME_LIMIT_GRACE
     later = {backend for backend in LISTED if scene.guard.may_attempt(request, backend, is_ready=True)}
     assert later == (may_go_to if request_class == IDEMPOTENT else set())
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,15 +20,15 @@
 
 from cedarledge.net.backends import Backends
 from cedarledge.net.buffers import NoBufferError, Pool
-from cedarledge.net.clients import MOST_LOAD, MalformedError, read_opening
+from cedarledge.net.clients import MAX_LOAD_HINT, MalformedError, parse_open_request
 from cedarledge.net.discovery import HttpError, HttpReader
 from cedarledge.net.echoes import SILENT, Delays, Echo, Echoes
 from cedarledge.net.invariants import Invariants
-from cedarledge.net.lines import BUFFER_SIZE, LONGEST, Lines, OverlongError
+from cedarledge.net.lines import BUFFER_SIZE, MAX_LINE_BYTES, LineBuffer, LineTooLongError
 from cedarledge.net.links import ConnectionContext
 from cedarledge.net.paces import Paces
 from cedarledge.net.rate_limited_log import MOST, RateLimitedLog
-from cedarledge.net.slots import FullError, Slots
+from cedarledge.net.slots import NoFreeSlotError, SlotTable
 from cedarledge.net.timers import Timers
 from cedarledge.settings import ReportReader
 from cedarledge.terms import Outcome
@@ -54,7 +54,7 @@
     lines: list[bytes], rest: bytes, places: list[int]
 ) -> None:
     pool = Pool(BUFFER_SIZE, 1)
-    reader = Lines(pool)
+    reader = LineBuffer(pool)
     data = b"".join(line + b"\r\n" for line in lines) + rest
     assert [line for part in cut(data, places) for line in reader.feed(part)] == lines
     reader.close()
@@ -62,17 +62,17 @@
 
 
 def test_a_line_of_the_longest_length_passes_and_one_more_does_not() -> None:
-    for size in (1, 1000, LONGEST + 1):
-        reader = Lines(Pool(BUFFER_SIZE, 1))
-        data = b"x" * LONGEST + b"\r\n"
+    for size in (1, 1000, MAX_LINE_BYTES + 1):
+        reader = LineBuffer(Pool(BUFFER_SIZE, 1))
+        data = b"x" * MAX_LINE_BYTES + b"\r\n"
         got = [
             line for start in range(0, len(data), size) for line in reader.feed(data[start : start + size])
         ]
-        assert got == [b"x" * LONGEST]
-        with raises(OverlongError):
-            reader.feed(b"x" * (LONGEST + 1) + b"\r\n")
-        with raises(OverlongError):
-            reader.feed(b"x" * (LONGEST + 2))
+        assert got == [b"x" * MAX_LINE_BYTES]
+        with raises(LineTooLongError):
+            reader.feed(b"x" * (MAX_LINE_BYTES + 1) + b"\r\n")
+        with raises(LineTooLongError):
+            reader.feed(b"x" * (MAX_LINE_BYTES + 2))
 
 
 def test_buffers_run_out_and_are_used_again() -> None:
@@ -87,28 +87,28 @@
 @given(steps=st.lists(st.integers(-3, 4), max_size=60))
 @often
 def test_a_late_handle_never_reaches_a_slots_next_holder(steps: list[int]) -> None:
-    slots: Slots[str] = Slots(3)
+    slots: SlotTable[str] = SlotTable(3)
     held: dict[int, str] = {}
     past: list[int] = []
     for number, step in enumerate(steps):
         if step >= 0 and len(held) < 3:
-            handle = slots.take(f"holder {number}")
+            handle = slots.allocate(f"holder {number}")
             assert handle not in held and handle not in past
             held[handle] = f"holder {number}"
         elif held and step < 0:
             handle = sorted(held)[step % len(held)]
             del held[handle]
-            slots.give_back(handle)
+            slots.release(handle)
             past.append(handle)
         assert slots.used == len(held) and sorted(slots.handles()) == sorted(held)
         assert all(slots.get(handle) == holder for handle, holder in held.items())
         assert not any(slots.get(handle) for handle in past)
     for handle in past:
         with raises(KeyError):
-            slots.give_back(handle)
+            slots.release(handle)
     if len(held) == 3:
-        with raises(FullError):
-            slots.take("one more")
+        with raises(NoFreeSlotError):
+            slots.allocate("one more")
 
 
 @given(plan=st.lists(st.tuples(st.integers(0, 50), st.booleans(), st.integers(0, 9)), max_size=150))
@@ -209,7 +209,7 @@
 
     timers = Timers(reactor, now)
     context = ConnectionContext(
-        reactor, now, timers, Pool(BUFFER_SIZE, 4), Slots(4), RateLimitedLog(timers), Invariants()
+        reactor, now, timers, Pool(BUFFER_SIZE, 4), SlotTable(4), RateLimitedLog(timers), Invariants()
     )
     watcher = SimpleNamespace(
         may_send=lambda *_: True,
@@ -280,7 +280,7 @@
 
     timers = Timers(reactor, now)
     context = ConnectionContext(
-        reactor, now, timers, Pool(BUFFER_SIZE, 4), Slots(4), RateLimitedLog(timers), Invariants()
+        reactor, now, timers, Pool(BUFFER_SIZE, 4), SlotTable(4), RateLimitedLog(timers), Invariants()
     )
     backends = Backends(
         context,
@@ -388,19 +388,23 @@
 @often
 def test_an_opening_is_read_or_malformed(line: bytes) -> None:
     try:
-        opening = read_opening(line)
+        open_request = parse_open_request(line)
     except MalformedError:
         return
-    assert opening.profile and 0 < len(opening.key) < 999 and (opening.wait > 0 or opening.at)
-    assert opening.wait < 10_000 * SECOND and len(opening.group or "") < 999
-    assert opening.hint in (None, 2.5, MOST_LOAD), "more would drown all learned loads"
-    head = opening.head(7 * MS)
-    assert head == line if opening.at else head.replace(b"d=7", b"d=40", 1) == line
+    assert (
+        open_request.profile
+        and 0 < len(open_request.key) < 999
+        and (open_request.client_timeout > 0 or open_request.previous_backend)
+    )
+    assert open_request.client_timeout < 10_000 * SECOND and len(open_request.group or "") < 999
+    assert open_request.load_hint in (None, 2.5, MAX_LOAD_HINT), "more would drown all learned loads"
+    head = open_request.line_for_backend(7 * MS)
+    assert head == line if open_request.previous_backend else head.replace(b"d=7", b"d=40", 1) == line
 
 
 def test_a_heads_wait_is_changed_and_nothing_else() -> None:
     line = b"OPEN 1 d=5,d=6 c=feed,dd=1,d=2000,g=d=9,x=1"
-    assert read_opening(line).head(80 * MS) == b"OPEN 1 d=5,d=6 c=feed,dd=1,d=80,g=d=9,x=1"
+    assert parse_open_request(line).line_for_backend(80 * MS) == b"OPEN 1 d=5,d=6 c=feed,dd=1,d=80,g=d=9,x=1"
 
 
 def test_slow_lines_are_told_as_they_grow_then_their_end_and_silence_in_time() -> None:
@@ -463,8 +467,14 @@
 
 def test_an_opening_as_the_operators_page_shows_it() -> None:
     line = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59"
-    opening = read_opening(line)
-    assert (opening.profile, opening.key, opening.wait, opening.group, opening.at) == (
+    open_request = parse_open_request(line)
+    assert (
+        open_request.profile,
+        open_request.key,
+        open_request.client_timeout,
+        open_request.group,
+        open_request.previous_backend,
+    ) == (
         "chat",
         "7f3a9c21e0b4d655",
         2 * SECOND,
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -15,8 +15,8 @@
 from twisted.internet.task import Clock
 
 from cedarledge.net.hearers import MOST_FAULTS, Hearers
+from cedarledge.net.interfaces import Observer
 from cedarledge.net.logs import NeverWaiting, as_json
-from cedarledge.net.seams import Hearer
 from cedarledge.net.timers import Timers
 from cedarledge.operator.file import OperatorFile, read_operator_file
 from cedarledge.operator.tables import BadFileError, read_tables
@@ -25,7 +25,7 @@
 from cedarledge.terms import ExternalView
 
 
-class Ear(Hearer):
+class Ear(Observer):
     def __init__(self, cost: int = 0, fails: bool = False) -> None:
         self.heard = 0
         self.cost = cost
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -171,7 +171,9 @@
     assert late.total() <= ALLOWED_LATE, f"{late} of {len(before_leaving)} clients that had left"
 
 
-@mark.parametrize("place", ["clients Opening head after", "backends SetupLink resumeProducing before"])
+@mark.parametrize(
+    "place", ["clients OpenRequest line_for_backend after", "backends SetupLink resumeProducing before"]
+)
 def test_who_leaves_right_before_its_line_is_written_is_not_attempted(place: str, tmp_path: Path) -> None:
     """The client was looked at before its line was put together, and a pause between the two hid its end."""
     backend = Backend("a")
--- a/tests/test_terms_limits.py
+++ b/tests/test_terms_limits.py
@@ -32,7 +32,7 @@
 from cedarledge.net.lines import BUFFER_SIZE
 from cedarledge.net.links import ConnectionContext
 from cedarledge.net.rate_limited_log import RateLimitedLog
-from cedarledge.net.slots import Slots
+from cedarledge.net.slots import SlotTable
 from cedarledge.net.timers import Timers
 from cedarledge.settings import ReportReader
 
@@ -108,7 +108,8 @@
 
 
 def test_idle_clients_leave_descriptors_for_all_that_the_relay_opens_itself(tmp_path: Path) -> None:
-    """Discovery is down meanwhile, and is heard as it returns. Seen to fail with ROOM and LAST_ROOM at 0."""
+    """Discovery is down meanwhile, and is heard as it returns. Seen to fail with EVICTION_FREE_SLOTS
+    and REFUSAL_FREE_SLOTS at 0."""
     control = free_address()
     backends = [ProbedBackend("a"), ProbedBackend("b")]
     discovery = FaultyDiscovery([backend.entry() for backend in backends])
@@ -150,7 +151,7 @@
 
     timers = Timers(reactor, now)
     context = ConnectionContext(
-        reactor, now, timers, Pool(BUFFER_SIZE, 4), Slots(4), RateLimitedLog(timers), Invariants()
+        reactor, now, timers, Pool(BUFFER_SIZE, 4), SlotTable(4), RateLimitedLog(timers), Invariants()
     )
     slow = SimpleNamespace(slower=lambda *_: 2.0)
     backends = Backends(
--- a/tests/test_tunnels.py
+++ b/tests/test_tunnels.py
@@ -11,15 +11,15 @@
 
 from cedarledge.net.boxlist import BoxList
 from cedarledge.net.buffers import Pool
-from cedarledge.net.clients import read_opening
+from cedarledge.net.clients import parse_open_request
 from cedarledge.net.echoes import Delays, Echoes
 from cedarledge.net.hearers import Hearers
+from cedarledge.net.interfaces import Observer
 from cedarledge.net.invariants import Invariants
 from cedarledge.net.links import ConnectionContext
-from cedarledge.net.module import Module
+from cedarledge.net.policy_host import RelayPolicyHost
 from cedarledge.net.rate_limited_log import RateLimitedLog
-from cedarledge.net.seams import Hearer
-from cedarledge.net.slots import FullError, Slots
+from cedarledge.net.slots import NoFreeSlotError, SlotTable
 from cedarledge.net.timers import Timers
 from cedarledge.net.tunnels import Tunnels
 from cedarledge.policy import Balancer
@@ -35,7 +35,7 @@
 
 
 class Client:
-    """A seams.ClientEnd that notes what it is told."""
+    """An interfaces.ClientConnection that notes what it is told."""
 
     def __init__(self) -> None:
         self.transport = Transport()
@@ -45,16 +45,16 @@
     def peer_has_left(self) -> bool:
         return "LEFT" in self.said
 
-    def opened(self, line: bytes) -> None:
+    def accept(self, line: bytes) -> None:
         self.said.append("UP")
 
-    def decline(self, come_back: int) -> None:
+    def reject(self, retry_after: int) -> None:
         self.said.append("BUSY")
 
-    def fail(self) -> None:
+    def send_error(self) -> None:
         self.said.append("ERR")
 
-    def move(self) -> None:
+    def send_move(self) -> None:
         self.said.append("MOVE")
 
     def finish(self) -> None:
@@ -85,7 +85,7 @@
         assert not self.over
 
 
-class Ear(Hearer):
+class Ear(Observer):
     """Counts, and fails."""
 
     def __init__(self) -> None:
@@ -106,17 +106,23 @@
         self.reactor = Clock()
         timers = Timers(self.reactor, self.now)
         context = ConnectionContext(
-            self.reactor, self.now, timers, Pool(4097, 50), Slots(50), RateLimitedLog(timers), Invariants()
+            self.reactor,
+            self.now,
+            timers,
+            Pool(4097, 50),
+            SlotTable(50),
+            RateLimitedLog(timers),
+            Invariants(),
         )
         self.invariants = context.invariants
         hearers = Hearers(self.now, timers)
         hearers.add(Ear())
-        self.module = Module(self.now, timers)
-        self.boxes = BoxList(self.module, hearers, {})
+        self.policy_host = RelayPolicyHost(self.now, timers)
+        self.boxes = BoxList(self.policy_host, hearers, {})
         profiles = {"a": 0, "b": 1, "c": 2}
         self.tunnels = Tunnels(
             context,
-            self.module,
+            self.policy_host,
             self.boxes,
             hearers,
             MOST,
@@ -126,15 +132,15 @@
             150 * MS,
             facts().profiles,
         )
-        self.tunnels.join(
+        self.tunnels.connect(
             self, Echoes(self.now, timers, Delays(self.now, 0, lambda *_: None), self.tunnels.silent)
         )
-        self.module.join(self.tunnels, self, self.boxes, self)
+        self.policy_host.connect(self.tunnels, self, self.boxes, self)
         self.timers = timers
         self.out: dict[int, SetupStub] = {}
         self.clients: list[Client] = []
         self.full = False
-        self.module.start(facts(now=self.now()), Broken if broken else Balancer)
+        self.policy_host.start(facts(now=self.now()), Broken if broken else Balancer)
         entries = [listed(backend_id, cells=2) for backend_id in range(BOXES)]
         for entry in entries:
             self.boxes.addresses[self.boxes.backend_ids[f"s-{entry.ep}"]] = ("127.0.0.1", 1)
@@ -151,7 +157,7 @@
     ) -> SetupStub:
         assert tunnel_id not in self.out, "two setups of one tunnel at once"
         if self.full:
-            raise FullError
+            raise NoFreeSlotError
         self.out[tunnel_id] = SetupStub(backend_id, self.now())
         self.timers.after(timeout, self._too_late, tunnel_id, self.out[tunnel_id])
         return self.out[tunnel_id]
@@ -172,13 +178,13 @@
         client = Client()
         self.clients.append(client)
         line = f"OPEN i{len(self.clients)} k{len(self.clients) % 3} c={profile},d=900,g=g"
-        client.tunnel_id = self.tunnels.arrived(client, read_opening(line.encode()))
+        client.tunnel_id = self.tunnels.request_arrived(client, parse_open_request(line.encode()))
 
     def _setup(self, pick: int, is_open: bool) -> int | None:
         tunnel_ids = [
             tunnel_id
             for tunnel_id, setup in self.out.items()
-            if not setup.over and bool(self.tunnels.table.get(tunnel_id).up) == is_open
+            if not setup.over and bool(self.tunnels.table.get(tunnel_id).is_open) == is_open
         ]
         return tunnel_ids[pick % len(tunnel_ids)] if tunnel_ids else None
 
@@ -187,7 +193,7 @@
         if tunnel_id is not None:
             self.out[tunnel_id].written = True
             self.tunnels.setup_up(tunnel_id, b"UP r", self.now() - self.out[tunnel_id].began)
-            self.tunnels.lines_on(tunnel_id, [b"m"])
+            self.tunnels.lines_from_client(tunnel_id, [b"m"])
             self.tunnels.lines_back(tunnel_id, [b"LOAD 0.5", b"LOAD none", b"e"])
 
     def fails(self, pick: int, outcome: Outcome) -> None:
@@ -209,7 +215,7 @@
         held = [client for client in self.clients if client.tunnel_id >= 0 and client.said in ([], ["UP"])]
         if held:
             client = held[pick % len(held)]
-            self.tunnels.client_ended(client.tunnel_id, abrupt=bool(pick % 2))
+            self.tunnels.client_closed(client.tunnel_id, abrupt=bool(pick % 2))
             client.said.append("LEFT")
 
     def lists(self, pick: int, standing: BackendState) -> None:
@@ -218,7 +224,9 @@
         self.boxes.changed(ListForm.CHANGES, [self.listing[backend_id]])
 
     def reports(self, pick: int, asked: float) -> None:
-        self.module.tell(self.module.balancer.probed, pick % BOXES, asked < 5, LoadReport(asked=asked))
+        self.policy_host.call(
+            self.policy_host.balancer.probed, pick % BOXES, asked < 5, LoadReport(asked=asked)
+        )
 
 
 class Broken(Balancer):
@@ -289,13 +297,13 @@
     for client in scene.clients:
         check_answers(client)
         assert client.said, "a client without an answer"
-    scene.tunnels.end_all()
+    scene.tunnels.close_all()
     scene.reactor.advance(0.01)
     assert scene.tunnels.table.used == 0, "every slot is back"
     assert not scene.tunnels.ids
     assert not scene.invariants.counts
     if not broken:
-        state = scene.module.balancer.state
+        state = scene.policy_host.balancer.state
         assert not (state.connections or state.waiting or state.in_flight), (
             "nothing is counted that is not there"
         )
@@ -312,7 +320,7 @@
     scene.full = True
     scene.comes("a")
     scene.leaves(0)
-    state = scene.module.balancer.state
+    state = scene.policy_host.balancer.state
     assert state.in_flight == 1
     scene.reactor.advance(0)
     assert (
@@ -334,7 +342,7 @@
     def fails(*_: Any) -> None:
         raise RuntimeError("on purpose")
 
-    scene.module.balancer.client_gone = fails
-    scene.tunnels.end_all()
+    scene.policy_host.balancer.client_gone = fails
+    scene.tunnels.close_all()
     scene.reactor.advance(0.01)
     assert [client.said for client in scene.clients] == [["ERR"]] * 3
