--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -39,7 +39,7 @@
 START = 1000 * SECOND
 
 
-def facts(window: int = 2 * SECOND, **other: object) -> DeploymentSettings:
+def make_settings(window: int = 2 * SECOND, **other: object) -> DeploymentSettings:
     rows = tuple(
         ProfileRow(effect, dedup, window, 300 * MS, 50 * MS, 1.0 + place)
         for place, (effect, dedup) in enumerate(
@@ -77,7 +77,7 @@
     return DeploymentSettings(**(plain | other))
 
 
-def listed(
+def list_entry(
     ep: int,
     standing: BackendState = BackendState.READY,
     started: int = 0,
@@ -88,7 +88,7 @@
 
 
 @dataclass
-class Case:
+class ClientRequest:
     profile: int
     arrived: int
     give_up: int
@@ -96,14 +96,14 @@
     setups: list[list] = field(default_factory=list)  # [ep, sent at, outcome or None, opened]
 
 
-class Ledger:
+class RuleCheckingHost:
     """Records every call, and fails on the first that breaks a rule."""
 
     def __init__(self, site: DeploymentSettings, answers: bool = True) -> None:
-        self.site = site
+        self.settings = site
         self.answers = answers
         self.now = site.now
-        self.cases: dict[int, Case] = {}
+        self.requests: dict[int, ClientRequest] = {}
         self.listing: dict[int, Listed] = {}
         self.sends: list[tuple[int, int, int]] = []  # time, tunnel, ep
         self.probes: list[tuple[int, int]] = []
@@ -116,14 +116,14 @@
 
     # -- the host interface, with the rules ------------------------------------------------------
 
-    def _may_have_run(self, case: Case) -> list[list]:
+    def _may_have_run(self, case: ClientRequest) -> list[list]:
         return [setup for setup in case.setups if setup[2] not in NEVER_RAN]
 
     def send(self, tun: int, ep: int, timeout: int) -> None:
-        case, row = self.cases[tun], self.site.profiles[self.cases[tun].profile]
+        case, row = self.requests[tun], self.settings.profiles[self.requests[tun].profile]
         assert not case.answered, "a send after the final answer"
         assert all(setup[2] is not None for setup in case.setups), "two setups out at once"
-        assert len(case.setups) < self.site.most_setups
+        assert len(case.setups) < self.settings.most_setups
         assert 0 < timeout <= case.give_up - self.now, "a time-out past the client timeout"
         assert self.listing[ep].standing is BackendState.READY, "a send to a draining or gone backend"
         ran = self._may_have_run(case)
@@ -141,9 +141,9 @@
         self.sends.append((self.now, tun, ep))
 
     def decline(self, tun: int, come_back: int) -> None:
-        case, row = self.cases[tun], self.site.profiles[self.cases[tun].profile]
+        case, row = self.requests[tun], self.settings.profiles[self.requests[tun].profile]
         assert not case.answered, "two final answers"
-        assert 0 <= come_back <= self.site.come_back_max
+        assert 0 <= come_back <= self.settings.come_back_max
         assert (
             not self._may_have_run(case)
             or row.effect is Effect.REPEATABLE
@@ -153,11 +153,11 @@
         self.declines.append((self.now, tun))
 
     def close_with_error(self, tun: int) -> None:
-        assert not self.cases[tun].answered, "two final answers"
-        self.cases[tun].answered = True
+        assert not self.requests[tun].answered, "two final answers"
+        self.requests[tun].answered = True
 
     def move(self, tun: int) -> None:
-        assert self.cases[tun].setups[-1][3], "a move of a tunnel that is not open"
+        assert self.requests[tun].setups[-1][3], "a move of a tunnel that is not open"
         self.moves.append(tun)
 
     def probe(self, ep: int) -> None:
@@ -176,9 +176,9 @@
     # -- what happens ------------------------------------------------------------------------------
 
     def check(self) -> None:
-        for case in self.cases.values():
+        for case in self.requests.values():
             held = case.setups and case.setups[-1][2] is None
-            looks = self.now < case.arrived + self.site.profiles[case.profile].setup_goal // 4
+            looks = self.now < case.arrived + self.settings.profiles[case.profile].setup_goal // 4
             assert case.answered or held or looks, "a tunnel with neither an answer nor a setup out"
 
     def tell(self, form: ListForm, *entries: Listed) -> None:
@@ -198,8 +198,8 @@
         group: str | None = None,
         tenant: int | None = None,
     ) -> int:
-        tun = len(self.cases)
-        self.cases[tun] = Case(profile, self.now, self.now + budget)
+        tun = len(self.requests)
+        self.requests[tun] = ClientRequest(profile, self.now, self.now + budget)
         self.balancer.tunnel_arrived(self.now, tun, profile, tenant, key, group, budget, hint, False)
         while self.answers and tun in self.balancer.state.waiting:
             ep = self.balancer.state.waiting[tun].backend_id
@@ -207,18 +207,18 @@
         return tun
 
     def adopt(self, ep: int, hint: float | None = None, group: str | None = None) -> int:
-        tun = len(self.cases)
-        self.cases[tun] = Case(0, self.now, self.now, True, [[ep, self.now, None, True]])
+        tun = len(self.requests)
+        self.requests[tun] = ClientRequest(0, self.now, self.now, True, [[ep, self.now, None, True]])
         self.balancer.adopted(self.now, tun, 0, None, None, group, ep, hint)
         return tun
 
     def open(self, tun: int) -> None:
-        setup = self.cases[tun].setups[-1]
-        setup[3] = self.cases[tun].answered = True
+        setup = self.requests[tun].setups[-1]
+        setup[3] = self.requests[tun].answered = True
         self.balancer.opened(self.now, tun, self.now - setup[1])
 
     def end(self, tun: int, outcome: Outcome) -> None:
-        case = self.cases[tun]
+        case = self.requests[tun]
         setup = case.setups[-1]
         setup[2] = outcome
         if outcome is Outcome.DONE:
@@ -227,7 +227,7 @@
 
     def end_moved(self) -> None:
         for tun in self.moves:
-            if self.cases[tun].setups[-1][2] is None:
+            if self.requests[tun].setups[-1][2] is None:
                 self.end(tun, Outcome.CANCELLED)
 
     def report(self, ep: int, asked: float) -> None:
@@ -245,23 +245,25 @@
         self.now = end
 
 
-def fleet(size: int = 6, asked: float | None = 0.3, cells: int = 2, **other: object) -> Ledger:
-    ledger = Ledger(facts(**other))
-    ledger.tell(ListForm.RESTORED, *(listed(ep, cells=cells) for ep in range(size)))
+def host_with_backends(
+    size: int = 6, asked: float | None = 0.3, cells: int = 2, **other: object
+) -> RuleCheckingHost:
+    host = RuleCheckingHost(make_settings(**other))
+    host.tell(ListForm.RESTORED, *(list_entry(ep, cells=cells) for ep in range(size)))
     if asked is not None:
         for ep in range(size):
-            ledger.report(ep, asked)
-    return ledger
+            host.report(ep, asked)
+    return host
 
 
-def teach(ledger: Ledger) -> None:
+def learn_loads(host: RuleCheckingHost) -> None:
     """Eight tunnels of 100 on the fleet, and reports of half its load."""
     for number in range(8):
-        ledger.open(ledger.arrive(hint=100.0, key=str(number)))
+        host.open(host.arrive(hint=100.0, key=str(number)))
     for _ in range(4):
-        ledger.now += 500 * MS
-        for ep in ledger.listing:
-            ledger.report(ep, 0.5)
+        host.now += 500 * MS
+        for ep in host.listing:
+            host.report(ep, 0.5)
 
 
 # -- the program on sockets ------------------------------------------------------------------------
@@ -306,7 +308,7 @@
     link.close()
 
 
-class Listening:
+class LoopbackServer:
     """A server on loopback with a thread for each connection."""
 
     def __init__(self) -> None:
@@ -330,7 +332,7 @@
         raise NotImplementedError
 
 
-class Backend(Listening):
+class Backend(LoopbackServer):
     """Answers OPEN by the next of its modes, the last for good: a line (perhaps " then reset"), "reset" or
     "hang". Then it echoes."""
 
@@ -399,7 +401,7 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-class Discovery(Listening):
+class Discovery(LoopbackServer):
     """Holds the list and its revision; a watch waits for the next change."""
 
     def __init__(self, members: list[dict]) -> None:
@@ -482,9 +484,9 @@
 
     def say(self, line: str) -> str:
         self.link.sendall(line.encode() + b"\r\n")
-        return self.hear()
+        return self.read_line()
 
-    def hear(self) -> str:
+    def read_line(self) -> str:
         """The next line; empty at the end, "reset" where the connection was reset."""
         try:
             return self.file.readline().decode().removesuffix("\r\n")
@@ -515,11 +517,11 @@
     raise AssertionError("it goes round")
 
 
-def paused(pid: int) -> bool:
+def is_paused(pid: int) -> bool:
     return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] == "T"
 
 
-class Program:
+class RelayProgram:
     """The relay, started as a program."""
 
     environment: Mapping[str, str] = {}  # beside this process's own
@@ -556,8 +558,8 @@
             env=os.environ | self.environment | {"BALANCER_CONFIG": str(self.path)},
         )
 
-    def __enter__(self) -> Program:
-        until(lambda: self.process.poll() is not None or self.answers())
+    def __enter__(self) -> RelayProgram:
+        wait_until(lambda: self.process.poll() is not None or self.answers())
         assert self.process.poll() is None, self.log.read_text()
         return self
 
@@ -584,16 +586,16 @@
 
     def until_paused(self) -> None:
         """Also where it stops by itself."""
-        until(lambda: paused(self.process.pid))
+        wait_until(lambda: is_paused(self.process.pid))
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         self.process.send_signal(signal.SIGCONT)
 
-    def ask_to_stop(self) -> None:
+    def terminate(self) -> None:
         self.process.send_signal(signal.SIGTERM)
 
 
-def until(holds: Callable[[], bool], within: float = 8) -> float:
+def wait_until(holds: Callable[[], bool], within: float = 8) -> float:
     """Waits for something to hold, and says how long that took."""
     start = time.monotonic()
     while not holds():
@@ -608,14 +610,14 @@
     "START",
     "TICK",
     "Backend",
-    "Case",
-    "Ledger",
-    "Program",
-    "facts",
-    "fleet",
+    "ClientRequest",
+    "RelayProgram",
+    "RuleCheckingHost",
+    "host_with_backends",
     "http",
-    "listed",
+    "learn_loads",
+    "list_entry",
+    "make_settings",
     "reset",
-    "teach",
-    "until",
+    "wait_until",
 ]
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 
 import hypothesis.strategies as st
-from helpers import MS, SECOND, START, Backend, Ledger, facts, until
+from helpers import MS, SECOND, START, Backend, RuleCheckingHost, make_settings, wait_until
 from hypothesis import given, settings
 from test_control import call, running
 
@@ -21,21 +21,21 @@
     """A module under the test's host, which hears of the list as the relay's does."""
 
     def __init__(self) -> None:
-        self.ledger = ledger = Ledger(facts())
+        self.host = host = RuleCheckingHost(make_settings())
 
         def call(method: object, *args: object) -> bool:
-            if method == ledger.balancer.list_changed:
+            if method == host.balancer.list_changed:
                 form, entries = args
-                ledger.tell(form, *entries)
+                host.tell(form, *entries)
             else:
-                method(ledger.now, *args)
+                method(host.now, *args)
             return True
 
         policy_host = SimpleNamespace(
-            clock=lambda: ledger.now,
+            clock=lambda: host.now,
             call=call,
-            balancer=ledger.balancer,
-            update_external_view=lambda aside: ledger.balancer.knows(ledger.now, ExternalView(aside=aside)),
+            balancer=host.balancer,
+            update_external_view=lambda aside: host.balancer.knows(host.now, ExternalView(aside=aside)),
         )
         self.boxes = BoxList(policy_host, SimpleNamespace(tell=lambda *_: None), {"dcs": ["z"]})
         self.told(True, *[self.entry(name) for name in NAMES])
@@ -55,10 +55,10 @@
         self.boxes.told(whole, list(members))
 
     def ban(self, name: str) -> None:
-        self.boxes.ban(self.boxes.known(name), self.ledger.now)
+        self.boxes.ban(self.boxes.known(name), self.host.now)
 
     def put_back(self, name: str) -> None:
-        self.boxes.put_back(self.boxes.known(name), self.ledger.now)
+        self.boxes.put_back(self.boxes.known(name), self.host.now)
 
 
 @given(
@@ -88,10 +88,10 @@
 @settings(derandomize=True, deadline=None, max_examples=200)
 def test_nothing_new_goes_to_a_banned_backend_whatever_the_list_says(steps: list[tuple[str, str]]) -> None:
     site = Listed()
-    ledger, boxes = site.ledger, site.boxes
+    host, boxes = site.host, site.boxes
     banned: set[str] = set()
     for what, name in steps:
-        sends, probes = len(ledger.sends), len(ledger.probes)
+        sends, probes = len(host.sends), len(host.probes)
         if what == "ban":
             site.ban(name)
             banned.add(name)
@@ -101,66 +101,66 @@
         elif what in ("up", "draining", "removed"):
             site.told(False, site.entry(name, what))
         elif what == "restarted":
-            site.told(False, site.entry(name, "up", ledger.now // MS))
+            site.told(False, site.entry(name, "up", host.now // MS))
         elif what == "whole":
             site.told(True, *[site.entry(other) for other in NAMES if other != name])
         elif what == "aside":
             boxes.set_aside([name])
         elif what == "wait":
-            ledger.run(SECOND)
+            host.run(SECOND)
         else:
-            tun = ledger.arrive(key=name)
-            if not ledger.cases[tun].answered:
+            tun = host.arrive(key=name)
+            if not host.requests[tun].answered:
                 # It fails there, and goes elsewhere as long as there is somewhere.
-                ledger.end(tun, Outcome.FULL)
-        new = ledger.sends[sends:]
+                host.end(tun, Outcome.FULL)
+        new = host.sends[sends:]
         assert not {boxes.backend_ids.names[ep] for _, _, ep in new} & banned
-        assert not {boxes.backend_ids.names[ep] for _, ep in ledger.probes[probes:]} & banned
+        assert not {boxes.backend_ids.names[ep] for _, ep in host.probes[probes:]} & banned
         # What is not banned, and up, is never lost by it.
-        for ep, entry in ledger.listing.items():
+        for ep, entry in host.listing.items():
             assert boxes.backend_ids.names[ep] not in banned or entry.standing is not BackendState.READY
 
 
 def test_a_ban_on_all_is_followed_where_a_list_of_all_to_set_aside_is_not() -> None:
     site = Listed()
     site.boxes.set_aside(NAMES)
-    tun = site.ledger.arrive()
-    assert site.ledger.sends and not site.ledger.cases[tun].answered, "a slip, which would close the site"
+    tun = site.host.arrive()
+    assert site.host.sends and not site.host.requests[tun].answered, "a slip, which would close the site"
     for name in NAMES:
         site.ban(name)
-    sends = len(site.ledger.sends)
-    tun = site.ledger.arrive()
-    assert site.ledger.cases[tun].answered and len(site.ledger.sends) == sends
+    sends = len(site.host.sends)
+    tun = site.host.arrive()
+    assert site.host.requests[tun].answered and len(site.host.sends) == sends
     site.put_back("b")
-    site.ledger.now += 11 * SECOND  # warm
-    assert site.ledger.arrive() >= 0 and [ep for _, _, ep in site.ledger.sends[sends:]] == [1]
+    site.host.now += 11 * SECOND  # warm
+    assert site.host.arrive() >= 0 and [ep for _, _, ep in site.host.sends[sends:]] == [1]
 
 
 def test_one_that_comes_back_is_cold_and_forgotten_whatever_the_list_says() -> None:
     site = Listed()
-    ledger, now = site.ledger, START
-    struck = ledger.balancer.state.backends[0]
+    host, now = site.host, START
+    struck = host.balancer.state.backends[0]
     struck.ejections, struck.ejected_until = 5, now + 100 * SECOND
     site.ban("a")
-    ledger.now += 3 * SECOND
+    host.now += 3 * SECOND
     site.put_back("a")
-    member = ledger.balancer.state.backends[0]
-    assert member.started_at == ledger.now and not member.ejections and member.reported < 0
+    member = host.balancer.state.backends[0]
+    assert member.started_at == host.now and not member.ejections and member.reported < 0
     # An old word of discovery does not make it warm, nor forget again what was learned since.
-    ledger.report(0, 0.3)
+    host.report(0, 0.3)
     site.told(False, site.entry("a", "up", 5))
-    assert member.started_at == ledger.now and member.reported == 0.3
-    ledger.now += SECOND
-    site.told(False, site.entry("a", "up", ledger.now // MS))
-    assert member.started_at == ledger.now and member.reported < 0, "one more restart is one"
+    assert member.started_at == host.now and member.reported == 0.3
+    host.now += SECOND
+    site.told(False, site.entry("a", "up", host.now // MS))
+    assert member.started_at == host.now and member.reported < 0, "one more restart is one"
     # Where the list has told of the restart while it was out, that is when it started.
     site.ban("b")
-    ledger.now += SECOND
-    at = ledger.now
+    host.now += SECOND
+    at = host.now
     site.told(False, site.entry("b", "up", at // MS))
-    ledger.now += SECOND
+    host.now += SECOND
     site.put_back("b")
-    assert ledger.balancer.state.backends[1].started_at == at
+    assert host.balancer.state.backends[1].started_at == at
 
 
 def test_its_clients_are_moved_and_it_gets_the_first_of_the_next(tmp_path: Path) -> None:
@@ -197,7 +197,7 @@
     with running(tmp_path, backend) as (relay, control):
         assert relay.client().open() == "UP r"
         assert call(control, "POST", "/control/backends/a/offline") == 200
-        until(lambda: backend.ends.count("ended") + backend.ends.count("reset") >= 2)
+        wait_until(lambda: backend.ends.count("ended") + backend.ends.count("reset") >= 2)
         seen = len(backend.ends), len(backend.heads)
         time.sleep(2.5)
         assert relay.client().open() == "BUSY"
@@ -209,16 +209,16 @@
 
 def test_what_is_being_connected_when_the_ban_comes_is_not_written() -> None:
     site = Listed()
-    ledger = site.ledger
-    tun = ledger.arrive(key="k")
-    ep = ledger.sends[-1][2]
+    host = site.host
+    tun = host.arrive(key="k")
+    ep = host.sends[-1][2]
     site.ban(site.boxes.backend_ids.names[ep])
     # The host asks once more before it writes (Tunnels.may_send), and says that it was not sent.
     assert ep not in site.boxes.ready
-    ledger.end(tun, Outcome.NOT_SENT)
-    while tun in ledger.balancer.state.waiting:
-        ledger.report(ledger.balancer.state.waiting[tun].backend_id, 0.1)
-    assert ledger.sends[-1][2] != ep, "it goes elsewhere"
+    host.end(tun, Outcome.NOT_SENT)
+    while tun in host.balancer.state.waiting:
+        host.report(host.balancer.state.waiting[tun].backend_id, 0.1)
+    assert host.sends[-1][2] != ep, "it goes elsewhere"
 
 
 def test_names_are_as_the_list_has_them(tmp_path: Path) -> None:
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -7,7 +7,7 @@
 import os
 from pathlib import Path
 
-from helpers import SETTINGS, Backend, Discovery, Program, until
+from helpers import SETTINGS, Backend, Discovery, RelayProgram, wait_until
 from pytest import MonkeyPatch, mark, raises
 
 from cedarledge.net import config
@@ -60,15 +60,15 @@
     """The limit on descriptors, lowered to those that are open, has each opening of a file fail."""
     import resource
 
-    with Program(tmp_path, [Backend("a")]) as relay:
+    with RelayProgram(tmp_path, [Backend("a")]) as relay:
         client = relay.client()
         assert client.open() == "UP r"
         moved = Discovery(relay.discovery.members)
         limits = resource.prlimit(relay.process.pid, resource.RLIMIT_NOFILE)
         resource.prlimit(relay.process.pid, resource.RLIMIT_NOFILE, (3, limits[1]))
         relay.reload(discovery=moved.address)
-        until(lambda: "tried again" in relay.log.read_text())
+        wait_until(lambda: "tried again" in relay.log.read_text())
         assert not moved.calls
         resource.prlimit(relay.process.pid, resource.RLIMIT_NOFILE, limits)
-        until(lambda: bool(moved.calls), 2)
+        wait_until(lambda: bool(moved.calls), 2)
         assert client.say("M 1") == "M 1"
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 import hypothesis.strategies as st
-from helpers import Backend, Program, free_port, until
+from helpers import Backend, RelayProgram, free_port, wait_until
 from hypothesis import given, settings
 from pytest import mark, raises
 
@@ -52,9 +52,9 @@
 
 
 @contextmanager
-def running(tmp: Path, *backends: Backend, **other: object) -> Iterator[tuple[Program, str]]:
+def running(tmp: Path, *backends: Backend, **other: object) -> Iterator[tuple[RelayProgram, str]]:
     address = free_address()
-    with Program(tmp, list(backends), control=address, **other) as relay:
+    with RelayProgram(tmp, list(backends), control=address, **other) as relay:
         yield relay, address
 
 
@@ -156,7 +156,7 @@
             check=False,
         )
         assert ended.returncode == 2 and ended.stderr.count("\n") == 1 and "control: " in ended.stderr
-    with Program(tmp_path, [Backend("a")]) as relay:
+    with RelayProgram(tmp_path, [Backend("a")]) as relay:
         assert len(listeners(relay.process.pid)) == 1
     with running(tmp_path, Backend("a")) as (relay, _):
         assert len(listeners(relay.process.pid)) == 2
@@ -183,9 +183,9 @@
         # One that was on its way still gets a final answer, and is moved with the others.
         late = relay.client()
         assert late.open("late") == "UP r"
-        heard = [client.hear() for client in (*clients, late)]
+        heard = [client.read_line() for client in (*clients, late)]
         assert heard == ["MOVE"] * 11 and 0.5 < time.monotonic() - start < 3.8
-        assert idle.hear() == "" and time.monotonic() - start < 4
+        assert idle.read_line() == "" and time.monotonic() - start < 4
         # Who comes all the same after its time is sent away at once, and no backend hears of it.
         time.sleep(max(0, start + 3.5 - time.monotonic()))
         seen = len(backend.heads)
@@ -214,19 +214,19 @@
     with running(tmp_path, backend) as (relay, address):
         client, start = relay.client(), time.monotonic()
         client.link.sendall(b"OPEN 00000000000000aa k c=bill,d=1500\r\n")
-        until(lambda: len(backend.heads) == 1)
+        wait_until(lambda: len(backend.heads) == 1)
         assert call(address, "POST", "/control/out-of-service") == 200
-        assert client.hear() == "ERR" and time.monotonic() - start < 4
+        assert client.read_line() == "ERR" and time.monotonic() - start < 4
 
 
 def test_a_restart_while_out_of_service_ends_and_nobody_is_let_back_in(tmp_path: Path) -> None:
     with running(tmp_path, Backend("a")) as (relay, address):
         assert call(address, "POST", "/control/out-of-service") == 200
         relay.reload()
-        until(lambda: b"configuration read again" in relay.log.read_bytes())
+        wait_until(lambda: b"configuration read again" in relay.log.read_bytes())
         assert relay.client().say("PING") == "ERR", "a new configuration changes nothing of it"
-        relay.ask_to_stop()
-        until(lambda: b"stops within" in relay.log.read_bytes())
+        relay.terminate()
+        wait_until(lambda: b"stops within" in relay.log.read_bytes())
         assert call(address, "POST", "/control/in-service") == 409
         assert call(address, "GET", "/control/ready") == 503
         assert relay.process.wait(timeout=6) == 0
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,15 +24,15 @@
     Backend,
     Client,
     Discovery,
-    Program,
-    fleet,
+    RelayProgram,
     free_port,
+    host_with_backends,
     http,
-    listed,
-    paused,
+    is_paused,
+    learn_loads,
+    list_entry,
     reset,
-    teach,
-    until,
+    wait_until,
 )
 from pytest import MonkeyPatch, approx, mark
 from test_control import Caller, call, free_address
@@ -68,7 +68,7 @@
 def test_a_connection_that_asks_for_more_than_a_core_is_served(tmp_path: Path) -> None:
     """One that was open before the run is lost with a refusal, and so is the run."""
     backend = Backend("a")
-    with Program(tmp_path, [backend]) as relay:
+    with RelayProgram(tmp_path, [backend]) as relay:
         for names in ("d=4294967,h=1812345.7,at=a", "d=1500,h=1812345.7", "d=1500,h=1e300"):
             client = relay.client()
             assert client.open(names="c=feed," + names) == "UP r" and client.say("M 1") == "M 1"
@@ -78,7 +78,7 @@
 # -- the list --------------------------------------------------------------------------------------
 
 
-def keys_at(relay: Program, gone: Backend) -> int:
+def keys_at(relay: RelayProgram, gone: Backend) -> int:
     """How many of a dozen newcomers the backend gets."""
     before = len(gone.heads)
     clients = [relay.client() for _ in range(12)]  # they stay, so that all who may be chosen are
@@ -97,12 +97,12 @@
     """Waits of 20 s, and a new call 2 to 6 s after each was over, had drains followed seconds too late."""
     backends = [Backend("a"), Backend("b")]
     unhurried = settings | {"safety": settings["safety"] | {"ask_every": 10_000_000}}
-    with Program(tmp_path, backends, settings=unhurried) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, backends, settings=unhurried) as relay:
+        wait_until(lambda: relay.discovery.calls)
         relay.discovery.fall_silent(part)
         silent = time.monotonic()
         relay.discovery.tell(backends[0].entry("draining"))
-        until(lambda: relay.discovery.answered, 8)
+        wait_until(lambda: relay.discovery.answered, 8)
         assert relay.discovery.answered[0] - silent < 5.3, "it counts as told after 6 s"
         assert not keys_at(relay, backends[0])
         assert "the watch is silent" in relay.log.read_text()
@@ -111,13 +111,13 @@
 def test_a_list_that_lay_unread_while_the_process_was_paused_is_followed(tmp_path: Path) -> None:
     """Its own time limit was found first, and the answer with the drain went with the call."""
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=PATIENT) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, backends, settings=PATIENT) as relay:
+        wait_until(lambda: relay.discovery.calls)
         relay.pause()
         relay.discovery.tell(backends[0].entry("draining"))
-        until(lambda: relay.discovery.answered)
+        wait_until(lambda: relay.discovery.answered)
         time.sleep(3.3)  # past the longest wait of 2 s and what a call may take beyond
-        relay.go_on()
+        relay.resume()
         assert not keys_at(relay, backends[0])
         assert len(relay.discovery.calls) == 2, "and the watch goes on"
 
@@ -127,13 +127,13 @@
 ) -> None:
     """What the agent has counts as told the moment it is back, whether or not a watch is open."""
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=PUSHED) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, backends, settings=PUSHED) as relay:
+        wait_until(lambda: relay.discovery.calls)
         relay.discovery.go_down()
-        until(lambda: len(relay.discovery.calls) > 4)
+        wait_until(lambda: len(relay.discovery.calls) > 4)
         relay.discovery.tell(backends[0].entry("draining"))
         relay.discovery.down, back = False, time.monotonic()
-        until(lambda: relay.discovery.answered)
+        wait_until(lambda: relay.discovery.answered)
         assert relay.discovery.answered[0] - back < 0.25
         time.sleep(0.05)
         assert not keys_at(relay, backends[0])
@@ -142,17 +142,17 @@
 
 def test_a_watch_that_falls_silent_right_after_discovery_was_down_is_opened_anew_too(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=PATIENT) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, backends, settings=PATIENT) as relay:
+        wait_until(lambda: relay.discovery.calls)
         relay.discovery.go_down()
-        until(lambda: "WARNING discovery" in relay.log.read_text())
+        wait_until(lambda: "WARNING discovery" in relay.log.read_text())
         relay.discovery.down = False
         calls = len(relay.discovery.calls)
-        until(lambda: len(relay.discovery.calls) > calls)
+        wait_until(lambda: len(relay.discovery.calls) > calls)
         relay.discovery.fall_silent()
         silent = time.monotonic()
         relay.discovery.tell(backends[0].entry("draining"))
-        until(lambda: relay.discovery.answered)
+        wait_until(lambda: relay.discovery.answered)
         assert relay.discovery.answered[0] - silent < 3.5  # by waits of 2 s at most here
         assert not keys_at(relay, backends[0])
 
@@ -160,7 +160,7 @@
 def test_lines_that_were_answered_while_the_process_was_paused_move_nobody(tmp_path: Path) -> None:
     """Each tunnel with a line out was taken for silent, and all were moved at once."""
     backend = Backend("a")
-    with Program(tmp_path, [backend], settings=PATIENT) as relay:
+    with RelayProgram(tmp_path, [backend], settings=PATIENT) as relay:
         clients = [relay.client() for _ in range(5)]
         assert {client.open(str(number)) for number, client in enumerate(clients)} == {"UP r"}
         assert [client.say("M 1") for client in clients] == ["M 1"] * 5
@@ -172,19 +172,19 @@
         for link in backend.opened:
             link.sendall(b"M 2\r\n")
         time.sleep(3.2)
-        relay.go_on()
-        assert [client.hear() for client in clients] == ["M 2"] * 5
+        relay.resume()
+        assert [client.read_line() for client in clients] == ["M 2"] * 5
         backend.deaf = False
         assert [client.say("M 3") for client in clients] == ["M 3"] * 5
 
 
 def test_an_address_that_fails_is_told_though_the_one_before_had_failed_too(tmp_path: Path) -> None:
-    with Program(tmp_path, [Backend("a")], settings=PUSHED) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, [Backend("a")], settings=PUSHED) as relay:
+        wait_until(lambda: relay.discovery.calls)
         relay.discovery.go_down()
-        until(lambda: relay.log.read_text().count("WARNING discovery") == 1)
+        wait_until(lambda: relay.log.read_text().count("WARNING discovery") == 1)
         relay.reload(discovery=f"127.0.0.1:{free_port()}")
-        until(lambda: relay.log.read_text().count("WARNING discovery") == 2)
+        wait_until(lambda: relay.log.read_text().count("WARNING discovery") == 2)
 
 
 class Pieces(Discovery):
@@ -202,12 +202,12 @@
 
 def test_an_indented_list_in_pieces_is_followed(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=PATIENT) as relay:
+    with RelayProgram(tmp_path, backends, settings=PATIENT) as relay:
         pieces = Pieces([backend.entry() for backend in backends])
         relay.reload(discovery=pieces.address)
-        until(lambda: len(pieces.calls) == 2)
+        wait_until(lambda: len(pieces.calls) == 2)
         pieces.tell(backends[0].entry("draining"))
-        until(lambda: len(pieces.calls) == 3)
+        wait_until(lambda: len(pieces.calls) == 3)
         assert not keys_at(relay, backends[0])
 
 
@@ -236,13 +236,13 @@
 @mark.parametrize("settings", [PATIENT, PUSHED], ids=["asked", "pushed"])
 def test_an_answer_right_before_a_reset_is_followed(settings: dict, tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=settings) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, backends, settings=settings) as relay:
+        wait_until(lambda: relay.discovery.calls)
         brief = Brief([backend.entry() for backend in backends])
         relay.reload(discovery=brief.address)
-        until(lambda: len(brief.answered) >= 1 and len(brief.calls) >= 2)
+        wait_until(lambda: len(brief.answered) >= 1 and len(brief.calls) >= 2)
         brief.tell(backends[0].entry("draining"))
-        until(lambda: len(brief.answered) >= 2)
+        wait_until(lambda: len(brief.answered) >= 2)
         time.sleep(0.05)
         assert not keys_at(relay, backends[0])
 
@@ -253,18 +253,18 @@
     settings: dict, trouble: str, tmp_path: Path
 ) -> None:
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=settings) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, backends, settings=settings) as relay:
+        wait_until(lambda: relay.discovery.calls)
         if trouble == "down":
             relay.discovery.go_down()
-            until(lambda: "WARNING discovery" in relay.log.read_text())
+            wait_until(lambda: "WARNING discovery" in relay.log.read_text())
         else:
             relay.discovery.fall_silent(CHANGE[:-9] if "body" in trouble else b"")
         relay.discovery.tell(backends[1].entry("draining"))
         other = Discovery([backends[0].entry("draining"), backends[1].entry()])
         time.sleep(0.2)
         relay.reload(discovery=other.address)
-        until(lambda: len(other.calls) == 2, 1)
+        wait_until(lambda: len(other.calls) == 2, 1)
         assert not keys_at(relay, backends[0])
         # Counted from here on: up to the signal a list that comes unasked is asked for ten times a second.
         calls = len(relay.discovery.calls)
@@ -280,11 +280,11 @@
     """The silent call for the whole list was taken for a failed one: made again 6 to 10 s after SIGHUP."""
     backends = [Backend("a"), Backend("b")]
     unhurried = settings | {"safety": settings["safety"] | {"ask_every": 10_000_000}}
-    with Program(tmp_path, backends, settings=unhurried) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, backends, settings=unhurried) as relay:
+        wait_until(lambda: relay.discovery.calls)
         other = Mum([backends[0].entry("draining"), backends[1].entry()])
         relay.reload(discovery=other.address)
-        until(lambda: len(other.calls) == 3, 12)  # silence, the whole list, and the next
+        wait_until(lambda: len(other.calls) == 3, 12)  # silence, the whole list, and the next
         assert other.calls[1][0] - other.calls[0][0] < 4.5, "it counts as told after 6 s"
         assert not keys_at(relay, backends[0])
 
@@ -299,24 +299,24 @@
 
 def test_a_connect_to_discovery_that_hangs_is_given_up_and_made_again(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=PATIENT) as relay, full_queue() as full:
+    with RelayProgram(tmp_path, backends, settings=PATIENT) as relay, full_queue() as full:
         relay.reload(discovery="{}:{}".format(*full.getsockname()))
-        until(lambda: "discovery: no answer in time" in relay.log.read_text(), 4)
+        wait_until(lambda: "discovery: no answer in time" in relay.log.read_text(), 4)
         assert relay.client().open() == "UP r", "by the list that it has"
         relay.reload()
         relay.discovery.members = [backends[0].entry("draining"), backends[1].entry()]
-        until(lambda: len(relay.discovery.calls) == 3)  # the first, the whole list, and the next
+        wait_until(lambda: len(relay.discovery.calls) == 3)  # the first, the whole list, and the next
         assert not keys_at(relay, backends[0])
 
 
 def test_a_whole_list_without_a_member_leaves_its_tunnels_and_sends_it_nothing_new(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=PATIENT) as relay:
+    with RelayProgram(tmp_path, backends, settings=PATIENT) as relay:
         clients = [relay.client() for _ in range(8)]
         assert {client.open(str(number)) for number, client in enumerate(clients)} == {"UP r"}
         other = Discovery([backends[1].entry()])
         relay.reload(discovery=other.address)
-        until(lambda: len(other.calls) == 2, 2)
+        wait_until(lambda: len(other.calls) == 2, 2)
         assert backends[0].opened and not keys_at(relay, backends[0])
         assert [client.say("M 1") for client in clients] == ["M 1"] * 8
 
@@ -324,14 +324,14 @@
 # -- the end, and signals --------------------------------------------------------------------------
 
 
-class Held(Program):
+class Held(RelayProgram):
     """A relay that stands still in its start, at the reading of its configuration, until that is given."""
 
     def start(self) -> None:
         self.path.unlink(missing_ok=True)
         os.mkfifo(self.path)
         super().start()
-        until(self._reads)
+        wait_until(self._reads)
 
     def _reads(self) -> bool:
         with suppress(OSError):  # nobody reads yet
@@ -350,8 +350,8 @@
         os.close(self.pipe)
 
 
-def ends(relay: Program, within: float = 6) -> int:
-    until(lambda: relay.process.poll() is not None, within)
+def ends(relay: RelayProgram, within: float = 6) -> int:
+    wait_until(lambda: relay.process.poll() is not None, within)
     return relay.process.returncode
 
 
@@ -376,15 +376,15 @@
         relay.path.write_text(json.dumps(relay.told))
         os.write(relay.pipe, json.dumps(old).encode())
         os.close(relay.pipe)
-        until(relay.answers)
-        until(lambda: other.calls)
+        wait_until(relay.answers)
+        wait_until(lambda: other.calls)
         assert relay.client().open() == "UP r"
 
 
 @mark.parametrize("words", [(signal.SIGTERM,), (signal.SIGTERM, signal.SIGHUP)], ids=["term", "term and hup"])
 def test_no_signal_ends_a_relay_that_ends(words: tuple[signal.Signals, ...], tmp_path: Path) -> None:
     """Said over and over, up to the interpreter's own end, which gives signals their defaults back."""
-    with Program(tmp_path, [Backend("a"), Backend("b")]) as relay:
+    with RelayProgram(tmp_path, [Backend("a"), Backend("b")]) as relay:
         client = relay.client()
         assert client.open() == "UP r"
         start = time.monotonic()
@@ -392,46 +392,46 @@
             for word in words:
                 relay.process.send_signal(word)
             time.sleep(0.001)
-        assert relay.process.returncode == 0 and client.hear() == "MOVE"
+        assert relay.process.returncode == 0 and client.read_line() == "MOVE"
 
 
 def test_who_came_while_an_ending_relay_was_paused_is_answered(tmp_path: Path) -> None:
     """Nothing was held as it went on, and the second for newcomers was over: it ended, and reset them."""
-    with Program(tmp_path, [Backend("a"), Backend("b")]) as relay:
-        relay.ask_to_stop()
-        until(lambda: "stops within" in relay.log.read_text())
+    with RelayProgram(tmp_path, [Backend("a"), Backend("b")]) as relay:
+        relay.terminate()
+        wait_until(lambda: "stops within" in relay.log.read_text())
         relay.pause()
         client = relay.client()
         client.link.sendall(b"OPEN 5 k c=feed,d=1500\r\n")
         time.sleep(1.2)
-        relay.go_on()
-        assert client.hear() == "BUSY", "the time for the other relays to take it is over too"
+        relay.resume()
+        assert client.read_line() == "BUSY", "the time for the other relays to take it is over too"
         assert ends(relay) == 0
 
 
 def test_a_line_that_lay_unread_while_the_process_was_paused_is_answered(tmp_path: Path) -> None:
-    with Program(tmp_path, [Backend("a")]) as relay:
+    with RelayProgram(tmp_path, [Backend("a")]) as relay:
         client, half = relay.client(), relay.client()
         half.link.sendall(b"OPEN 6 k c=feed")
-        until(lambda: relay.answers())  # so both are accepted, and the half line is read
+        wait_until(lambda: relay.answers())  # so both are accepted, and the half line is read
         relay.pause()
         client.link.sendall(b"OPEN 5 k c=feed,d=3000\r\n")
         half.link.sendall(b",d=3000\r\n")
         time.sleep(2.7)
-        relay.go_on()
-        assert [client.hear(), half.hear()] == ["UP r"] * 2
+        relay.resume()
+        assert [client.read_line(), half.read_line()] == ["UP r"] * 2
 
 
 def test_the_end_answers_lines_in_pieces_and_setups_that_hang(tmp_path: Path) -> None:
     backends = [Backend("a", "hang"), Backend("b", "hang")]
-    with Program(tmp_path, backends) as relay:
+    with RelayProgram(tmp_path, backends) as relay:
         hung, once, pieces, quiet = (relay.client() for _ in range(4))
         hung.link.sendall(b"OPEN 1 k c=feed,d=1500\r\n")
         once.link.sendall(b"OPEN 2 k c=bill,d=1500\r\n")
         pieces.link.sendall(b"OPEN 3 k c=feed,")
-        until(lambda: sum(len(backend.heads) for backend in backends) >= 2)
-        relay.ask_to_stop()
-        until(lambda: "stops within" in relay.log.read_text())
+        wait_until(lambda: sum(len(backend.heads) for backend in backends) >= 2)
+        relay.terminate()
+        wait_until(lambda: "stops within" in relay.log.read_text())
         late = relay.client()
         late.link.sendall(b"OPEN 4 k c=feed,d=1")
         for part in (b"d=15", b"00\r", b"\n"):
@@ -439,8 +439,8 @@
             pieces.link.sendall(part)
         late.link.sendall(b"500\r\n")
         for client in (hung, once, pieces, late):
-            assert client.hear() in ("ERR", "BUSY") and client.hear() == ""
-        assert quiet.hear() in ("", "reset"), "it has asked for nothing"
+            assert client.read_line() in ("ERR", "BUSY") and client.read_line() == ""
+        assert quiet.read_line() in ("", "reset"), "it has asked for nothing"
         assert ends(relay) == 0
         assert sum(head.startswith("OPEN 2 ") for backend in backends for head in backend.heads) == 1
 
@@ -448,16 +448,16 @@
 def test_an_answer_on_its_way_as_all_are_ended_reaches_its_client(tmp_path: Path) -> None:
     """The sweep at the end found its time over first, and said ERR over an UP that lay unread."""
     backend = Backend("a", "hang")
-    with Program(tmp_path, [backend]) as relay:
+    with RelayProgram(tmp_path, [backend]) as relay:
         client = asks(relay, "c=bill,d=3000")
-        until(lambda: backend.heads)
-        relay.ask_to_stop()
-        until(lambda: "stops within" in relay.log.read_text())
+        wait_until(lambda: backend.heads)
+        relay.terminate()
+        wait_until(lambda: "stops within" in relay.log.read_text())
         relay.pause()
         backend.last.sendall(b"UP r\r\n")
         time.sleep(2)  # past all the time that it takes to end
-        relay.go_on()
-        assert client.hear() == "UP r" and client.hear() == "MOVE"
+        relay.resume()
+        assert client.read_line() == "UP r" and client.read_line() == "MOVE"
         assert ends(relay) == 0
 
 
@@ -477,15 +477,15 @@
     try:
         relay.until_paused()
         relay.reload(discovery=other.address)
-        relay.go_on()
-        until(lambda: other.calls)
+        relay.resume()
+        wait_until(lambda: other.calls)
         assert relay.client().open() == "UP r"
-        relay.ask_to_stop()
+        relay.terminate()
         assert ends(relay) == 0
         relay.start()
         relay.until_paused()
-        relay.ask_to_stop()
-        relay.go_on()
+        relay.terminate()
+        relay.resume()
         assert ends(relay) == 0
     finally:
         relay.__exit__()
@@ -494,24 +494,24 @@
 def test_a_peer_that_keeps_its_side_open_after_its_answer_holds_no_end_up(tmp_path: Path) -> None:
     """Answered at the last moment it had a second more, and the platform kills the process 0.4 s later."""
     backends = [Backend("a", "hang"), Backend("b", "hang")]
-    with Program(tmp_path, backends) as relay:
+    with RelayProgram(tmp_path, backends) as relay:
         client = asks(relay)
-        until(lambda: any(backend.heads for backend in backends))
-        relay.ask_to_stop()
+        wait_until(lambda: any(backend.heads for backend in backends))
+        relay.terminate()
         start = time.monotonic()
-        assert client.hear() in ("ERR", "BUSY") and client.hear() == ""
+        assert client.read_line() in ("ERR", "BUSY") and client.read_line() == ""
         assert ends(relay) == 0
         assert time.monotonic() - start < 2.5, "1.5 s and a little more"
 
 
 def test_sigterm_while_out_of_service_ends_as_any_other(tmp_path: Path) -> None:
     control = free_address()
-    with Program(tmp_path, [Backend("a")], control=control) as relay:
+    with RelayProgram(tmp_path, [Backend("a")], control=control) as relay:
         clients = [relay.client() for _ in range(6)]
         assert {client.open(str(number)) for number, client in enumerate(clients)} == {"UP r"}
         assert call(control, "POST", "/control/out-of-service") == 200
-        relay.ask_to_stop()
-        assert [client.hear() for client in clients] == ["MOVE"] * 6
+        relay.terminate()
+        assert [client.read_line() for client in clients] == ["MOVE"] * 6
         assert ends(relay, 3) == 0
 
 
@@ -557,7 +557,7 @@
     ]
 
 
-class Stopping(Program):
+class Stopping(RelayProgram):
     def command(self) -> list[str]:
         return stopping(" ".join(self.arguments))
 
@@ -569,16 +569,16 @@
         client.close()
 
 
-def asks(relay: Program, names: str = "c=feed,d=3000") -> Client:
+def asks(relay: RelayProgram, names: str = "c=feed,d=3000") -> Client:
     client = relay.client()
     client.id = f"{time.monotonic_ns():x}"
     client.link.sendall(f"OPEN {client.id} k {names}\r\n".encode())
     return client
 
 
-def holds(relay: Program) -> int:
+def holds(relay: RelayProgram) -> int:
     """How many descriptors, the one for discovery among them: its first call is put off by a draw."""
-    until(lambda: relay.discovery.calls)
+    wait_until(lambda: relay.discovery.calls)
     return len(os.listdir(f"/proc/{relay.process.pid}/fd"))
 
 
@@ -606,8 +606,8 @@
         sent = len(backend.heads)  # while the client was there
         leave(client, abrupt)
         time.sleep(0.35)
-        relay.go_on()
-        until(lambda: holds(relay) <= before + 1)  # one for the probes that are kept
+        relay.resume()
+        wait_until(lambda: holds(relay) <= before + 1)  # one for the probes that are kept
         assert len(backend.heads) == sent
         assert relay.client().open() == "UP r"
 
@@ -624,15 +624,15 @@
         if leaves:
             client.link.shutdown(socket.SHUT_WR)
         time.sleep(0.35)
-        relay.go_on()
-        assert client.hear() == "ERR" and not backend.heads
+        relay.resume()
+        assert client.read_line() == "ERR" and not backend.heads
         assert relay.client().open() == "UP r"
 
 
 def test_of_a_storm_of_clients_that_leave_none_is_sent_on_later(tmp_path: Path) -> None:
     """Most of them before their line is read, with it in one packet or behind it, by FIN or by a reset."""
     backends = [Backend(name) for name in "abc"]
-    with Program(tmp_path, backends, settings=UNHURRIED) as relay:
+    with RelayProgram(tmp_path, backends, settings=UNHURRIED) as relay:
         assert relay.client().open() == "UP r"
         before = holds(relay)
         for number in range(40):
@@ -646,10 +646,10 @@
             for place in range(0, 10, 2):
                 leave(gone[place], abrupt=place % 4 == 0)
             time.sleep(0.01)
-            relay.go_on()
+            relay.resume()
             if number % 8 == 7:
                 assert relay.client().open() == "UP r"
-        until(lambda: holds(relay) <= before + 2 + 5 * 2)
+        wait_until(lambda: holds(relay) <= before + 2 + 5 * 2)
         heads = sum(len(backend.heads) for backend in backends)
         assert heads == 6, f"{heads - 6} of 400 were sent on"
 
@@ -670,11 +670,11 @@
 
 def test_who_leaves_during_a_look_is_not_sent_on(tmp_path: Path) -> None:
     backend = Withholding("a")
-    with Program(tmp_path, [backend], settings=UNHURRIED) as relay:
+    with RelayProgram(tmp_path, [backend], settings=UNHURRIED) as relay:
         client = asks(relay)
         assert backend.asked.wait(5)
         leave(client, abrupt=False)
-        until(relay.answers)  # so its end has been read
+        wait_until(relay.answers)  # so its end has been read
         backend.let.set()
         assert relay.client().open() == "UP r"
         time.sleep(0.35)
@@ -683,11 +683,11 @@
 
 def test_who_leaves_while_a_backend_hangs_is_not_set_up_at_the_other(tmp_path: Path) -> None:
     backends = [Backend("a", "hang"), Backend("b", "hang")]
-    with Program(tmp_path, backends, settings=UNHURRIED) as relay:
+    with RelayProgram(tmp_path, backends, settings=UNHURRIED) as relay:
         for abrupt in (False, True):
             before = sum(len(backend.heads) for backend in backends)
             client = asks(relay)
-            until(lambda before=before: sum(len(backend.heads) for backend in backends) > before)
+            wait_until(lambda before=before: sum(len(backend.heads) for backend in backends) > before)
             leave(client, abrupt)
             time.sleep(1)  # past the time of the setup that hung
             assert sum(len(backend.heads) for backend in backends) == before + 1
@@ -729,7 +729,7 @@
     backend = Backend("a")
     with full_queue() as late:
         backend.address = "{}:{}".format(*late.getsockname())
-        with Program(tmp_path, [backend], settings=told) as relay:
+        with RelayProgram(tmp_path, [backend], settings=told) as relay:
             client = asks(relay)
             time.sleep(0.2)
             if leaves:
@@ -740,30 +740,30 @@
 def test_who_leaves_as_the_process_ends_or_hands_over_is_not_sent_on(tmp_path: Path) -> None:
     backend = Backend("a")
     with Steps(tmp_path, [backend], "", "clients Listener open before") as relay:
-        until(relay.ready)
+        wait_until(relay.ready)
         relay.start()
         relay.until_paused()
         for abrupt in (False, True):
             leave(asks(relay), abrupt)  # in the queue that both share
         time.sleep(0.35)
-        relay.go_on()
-        until(relay.ready)
+        relay.resume()
+        wait_until(relay.ready)
         relay.processes[0].terminate()
         assert relay.processes[0].wait(timeout=5) == 0
         relay.process.terminate()
-        until(lambda: relay.log.read_text().count("stops within") == 2)
+        wait_until(lambda: relay.log.read_text().count("stops within") == 2)
         relay.pause()
         for abrupt in (False, True):
             leave(asks(relay), abrupt)
         time.sleep(0.35)
-        relay.go_on()
+        relay.resume()
         assert relay.process.wait(timeout=5) == 0
         assert not backend.heads
 
 
 def test_who_is_moved_comes_again_and_leaves_is_not_sent_on(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=UNHURRIED) as relay:
+    with RelayProgram(tmp_path, backends, settings=UNHURRIED) as relay:
         clients = [relay.client() for _ in range(60)]
         assert {client.open(str(number)) for number, client in enumerate(clients)} == {"UP r"}
         relay.discovery.tell(backends[0].entry("draining"))
@@ -774,13 +774,13 @@
         for client in clients:
             client.link.settimeout(0.01)
             with suppress(TimeoutError):
-                if client.hear() == "MOVE":
+                if client.read_line() == "MOVE":
                     moved.append(asks(relay))
         assert len(moved) > 5
         for number, client in enumerate(moved):
             leave(client, abrupt=number % 2 > 0)
         time.sleep(0.35)
-        relay.go_on()
+        relay.resume()
         assert relay.client().open() == "UP r"
         time.sleep(0.5)
         assert sum(len(backend.heads) for backend in backends) == heads + 1
@@ -788,30 +788,30 @@
 
 def test_a_look_that_nobody_waits_for_any_more_harms_no_member() -> None:
     """Its client had left; the next look's end took the member for one that did not answer in time."""
-    ledger = fleet(2, cells=1)
-    ledger.answers = False
-    ledger.run(4 * SECOND)
-    gone = ledger.arrive()
-    seen = ledger.balancer.state.waiting[gone]
-    ledger.balancer.client_gone(ledger.now, gone)
-    ledger.cases[gone].answered = True
-    ledger.run(SECOND)
-    assert not seen.busy_until and not ledger.balancer.state.waiting and not ledger.balancer.state.connections
+    host = host_with_backends(2, cells=1)
+    host.answers = False
+    host.run(4 * SECOND)
+    gone = host.arrive()
+    seen = host.balancer.state.waiting[gone]
+    host.balancer.client_gone(host.now, gone)
+    host.requests[gone].answered = True
+    host.run(SECOND)
+    assert not seen.busy_until and not host.balancer.state.waiting and not host.balancer.state.connections
 
 
 def test_what_was_never_sent_costs_a_cold_member_nothing_of_its_budget() -> None:
-    ledger = fleet(3, cells=1)
-    teach(ledger)
-    ledger.tell(ListForm.CHANGES, listed(0, cells=1, started=START))
-    cold = ledger.balancer.state.backends[0]
-    ledger.run(3 * SECOND)
+    host = host_with_backends(3, cells=1)
+    learn_loads(host)
+    host.tell(ListForm.CHANGES, list_entry(0, cells=1, started=START))
+    cold = host.balancer.state.backends[0]
+    host.run(3 * SECOND)
     cold.tokens = 1.5
-    while not ledger.sends or ledger.sends[-1][2] != 0:
-        ledger.arrive(hint=100.0)
-    tun, left = ledger.sends[-1][1], cold.tokens
-    ledger.balancer.client_gone(ledger.now, tun)
-    ledger.cases[tun].answered = True
-    ledger.end(tun, Outcome.NOT_SENT)
+    while not host.sends or host.sends[-1][2] != 0:
+        host.arrive(hint=100.0)
+    tun, left = host.sends[-1][1], cold.tokens
+    host.balancer.client_gone(host.now, tun)
+    host.requests[tun].answered = True
+    host.end(tun, Outcome.NOT_SENT)
     assert cold.tokens == approx(left + 1) and not cold.open and not cold.pending
 
 
@@ -845,7 +845,7 @@
     """It was taken for one that does not answer, and got no newcomers for two seconds."""
     monkeypatch.setenv("LOGURU_LEVEL", "DEBUG")
     backend = Closing("a", abrupt)
-    with Program(tmp_path, [backend]) as relay:
+    with RelayProgram(tmp_path, [backend]) as relay:
         for number in range(3):
             # What was seen longer ago than that is looked at before it is chosen.
             time.sleep(2.1)
@@ -853,7 +853,7 @@
         assert backend.closed and "probe of a: False" not in relay.log.read_text()
         backend.socket.shutdown(2)
         backend.socket.close()
-        until(lambda: "probe of a: False" in relay.log.read_text())
+        wait_until(lambda: "probe of a: False" in relay.log.read_text())
 
 
 class Endless(Backend):
@@ -874,7 +874,7 @@
         self.heads += [line.decode().strip() for line in iter(lines.readline, b"")]
 
 
-def pages(relay: Program) -> int:
+def pages(relay: RelayProgram) -> int:
     return int(Path(f"/proc/{relay.process.pid}/statm").read_text().split()[1])
 
 
@@ -883,7 +883,7 @@
     kind: type[Backend], tmp_path: Path
 ) -> None:
     bad, good = kind("a"), Backend("b")
-    with Program(tmp_path, [bad, good], settings=UNHURRIED) as relay:
+    with RelayProgram(tmp_path, [bad, good], settings=UNHURRIED) as relay:
         assert relay.client().open(names="c=feed,d=3000") == "UP r"
         descriptors, before = holds(relay), pages(relay)
         for number in range(60):
@@ -897,7 +897,7 @@
             assert bad.heads, "it was tried"
         for client in clients:
             client.close()
-        until(lambda: holds(relay) <= descriptors + 1)  # one for the other's probes, which is kept
+        wait_until(lambda: holds(relay) <= descriptors + 1)  # one for the other's probes, which is kept
         assert pages(relay) - before < 8 << 8, "8 MB in pages of 4 KiB"
 
 
@@ -918,19 +918,19 @@
 }
 
 
-def late_word(relay: Program, word: str, name: str, beside: str = "") -> tuple[Client, list[Backend]]:
+def late_word(relay: RelayProgram, word: str, name: str, beside: str = "") -> tuple[Client, list[Backend]]:
     """The client, the backend that has its line, and the other one, as the relay goes on."""
-    until(lambda: relay.discovery.calls)
+    wait_until(lambda: relay.discovery.calls)
     client = asks(relay, f"c={name},d=3000")
     relay.until_paused()
-    until(lambda: any(backend.heads for backend in relay.backends))
+    wait_until(lambda: any(backend.heads for backend in relay.backends))
     first, other = sorted(relay.backends, key=lambda backend: not backend.heads)
     other.modes = ["UP r"]
     if word == "reset":
         # Its thread reads on it: told that nothing more comes, that closes it, which resets it.
         first.last.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         first.last.shutdown(socket.SHUT_RD)
-        until(lambda: first.ends)
+        wait_until(lambda: first.ends)
     else:
         first.last.sendall(b"".join(part.encode() + b"\r\n" for part in word.split("|")))
     if beside == "drains":
@@ -938,7 +938,7 @@
     elif beside:
         leave(client, abrupt=beside == "resets")
     time.sleep(0.8)  # past the setup's time-out, within the client's wait
-    relay.go_on()
+    relay.resume()
     return client, [first, other]
 
 
@@ -955,7 +955,7 @@
     ) as relay:
         client, (first, other) = late_word(relay, word, name)
         again = name in LATE_WORDS[word]
-        assert client.hear() == ("UP late" if word.startswith("UP") else "UP r" if again else "ERR")
+        assert client.read_line() == ("UP late" if word.startswith("UP") else "UP r" if again else "ERR")
         assert (len(first.heads), len(other.heads)) == (1, again)
         if word.startswith("UP") or again:
             assert client.say("M 1") == "M 1", "and nothing more of the first one's"
@@ -971,8 +971,8 @@
     ) as relay:
         client, (first, other) = late_word(relay, word, "feed", beside)
         if beside == "drains":
-            assert client.hear() in ("BUSY", "ERR") and client.hear() == ""
-        until(lambda: relay.answers())
+            assert client.read_line() in ("BUSY", "ERR") and client.read_line() == ""
+        wait_until(lambda: relay.answers())
         time.sleep(0.3)
         assert not other.heads
         # Repeatable, and nobody else is left: the first may be asked once more while its client waits.
@@ -987,9 +987,9 @@
     backend = Backend("a")
     with full_queue() as late:
         backend.address = "{}:{}".format(*late.getsockname())
-        with Program(tmp_path, [backend], settings=told) as relay:
+        with RelayProgram(tmp_path, [backend], settings=told) as relay:
             client, start = asks(relay, f"c={name},d=600"), time.monotonic()
-            assert client.hear() == "BUSY" and client.hear() == "", "it never ran"
+            assert client.read_line() == "BUSY" and client.read_line() == "", "it never ran"
             assert time.monotonic() - start < 1, "before the connection could come up"
             assert not line_at(late)
 
@@ -1016,7 +1016,7 @@
     living = [process for process in relay.processes if process.poll() is None]
     for process in living:
         process.terminate()
-    assert [client.hear() for client in clients] == ["MOVE"] * 4
+    assert [client.read_line() for client in clients] == ["MOVE"] * 4
     assert [process.wait(timeout=5) for process in living] == [0] * len(living)
 
 
@@ -1036,7 +1036,7 @@
 ) -> None:
     backend = Backend("a")
     with Steps(tmp_path, [backend], "", place) as relay:
-        until(relay.ready)
+        wait_until(relay.ready)
         before = relay.client()
         assert before.open() == "UP r"
         relay.start()
@@ -1048,12 +1048,12 @@
             relay.process.terminate()
         else:
             time.sleep(1.7)  # past the lease
-        relay.go_on()
-        assert waits.hear() in ("UP r", "BUSY")
+        relay.resume()
+        assert waits.read_line() in ("UP r", "BUSY")
         if end == "told to end":
             assert relay.process.wait(timeout=6) == 0
         elif end == "late":
-            until(relay.ready)
+            wait_until(relay.ready)
         assert before.say("M 1") == "M 1"
         holds_together(relay)
 
@@ -1064,20 +1064,20 @@
     place: str, end: str, tmp_path: Path
 ) -> None:
     with Steps(tmp_path, [Backend("a")], f"handover Handover {place}") as relay:
-        until(relay.ready)
+        wait_until(relay.ready)
         before = relay.client()
         assert before.open() == "UP r"
         old = relay.process
         relay.start()
-        until(lambda: paused(old.pid))
+        wait_until(lambda: is_paused(old.pid))
         waits = asks(relay)
         if end == "killed":
             old.kill()
         else:
             time.sleep(1.7)  # past the lease, and what the new one waits for an answer
             old.send_signal(signal.SIGCONT)
-        assert waits.hear() == "UP r"
-        until(relay.ready)
+        assert waits.read_line() == "UP r"
+        wait_until(relay.ready)
         if end == "late":
             assert before.say("M 1") == "M 1"
         holds_together(relay)
@@ -1086,16 +1086,16 @@
 def test_the_lease_ends_as_the_word_that_it_was_taken_lies_unread(tmp_path: Path) -> None:
     """The old process, paused, found its lease over first, and both said that they serve."""
     with Steps(tmp_path, [Backend("a")], "", "handover Peer tell before") as relay:
-        until(relay.ready)
+        wait_until(relay.ready)
         old = relay.processes[0]
         relay.start()
         relay.until_paused()
         old.send_signal(signal.SIGSTOP)
-        relay.go_on()
-        until(relay.ready)
+        relay.resume()
+        wait_until(relay.ready)
         time.sleep(1.7)
         old.send_signal(signal.SIGCONT)
-        until(lambda: relay.said("the new process serves") or relay.said("did not take over in time"))
+        wait_until(lambda: relay.said("the new process serves") or relay.said("did not take over in time"))
         assert not relay.ready(0) and relay.ready() and not relay.said("did not take over in time")
         holds_together(relay)
 
@@ -1127,15 +1127,15 @@
     control = free_address()
     host, _, port = control.rpartition(":")
     with (
-        Program(tmp_path, [Backend("a")], control=control) as relay,
+        RelayProgram(tmp_path, [Backend("a")], control=control) as relay,
         socket.create_connection((host, int(port)), timeout=5) as caller,
     ):
         caller.sendall(b"GET /control/re")
-        until(relay.answers)
+        wait_until(relay.answers)
         relay.pause()
         caller.sendall(b"ady HTTP/1.1\r\nHost: x\r\n\r\n")
         time.sleep(WHOLE_WITHIN / SECOND + 0.3)
-        relay.go_on()
+        relay.resume()
         assert caller.recv(100).startswith(b"HTTP/1.1 200")
 
 
@@ -1143,14 +1143,14 @@
     """Two dozen were taken in at a time, and the first made room for the last before they were read; who had
     its answer made room before that was written."""
     control = free_address()
-    with Program(tmp_path, [Backend("a")], control=control) as relay:
+    with RelayProgram(tmp_path, [Backend("a")], control=control) as relay:
         relay.pause()
         crowd = [Caller(control).send(b"GET /con") for _ in range(30)]
         callers = []
         for _ in range(30):
             callers.append(Caller(control).send(b"GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n"))
             crowd.append(Caller(control).send(b"GET /con"))
-        relay.go_on()
+        relay.resume()
         assert [caller.answer()[0] for caller in callers] == [200] * 30
 
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -10,7 +10,7 @@
 
 import hypothesis.strategies as st
 import test_tunnels
-from helpers import SECOND, SETTINGS, Backend, Program
+from helpers import SECOND, SETTINGS, Backend, RelayProgram
 from hypothesis import given, settings
 from loguru import logger
 from pytest import MonkeyPatch, mark, raises
@@ -225,7 +225,7 @@
     told = SETTINGS | other
     name = told["profiles"][0]["name"]
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=told) as relay:
+    with RelayProgram(tmp_path, backends, settings=told) as relay:
         clients = [relay.client() for _ in range(6)]
         names = f"c={name},d=1500,g=g"
         assert {client.open(str(number), names) for number, client in enumerate(clients)} == {"UP r"}
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 from contextlib import closing, contextmanager, suppress
 from pathlib import Path
 
-from helpers import MS, SETTINGS, Backend, Client, Program, fleet, teach, until
+from helpers import MS, SETTINGS, Backend, Client, RelayProgram, host_with_backends, learn_loads, wait_until
 from pytest import approx, mark, raises
 from test_control import call, free_address
 
@@ -25,7 +25,7 @@
 from cedarledge.settings import Indices
 
 
-class Pair(Program):
+class Pair(RelayProgram):
     """A relay whose clients' socket is held by the platform, and whose processes come one after the other."""
 
     def __init__(self, tmp: Path, backends: list[Backend], folder: str = "common", **other: object) -> None:
@@ -57,7 +57,7 @@
     def next(self) -> float:
         """Starts one more, and says how long it took to be ready."""
         self.start()
-        return until(self.ready, 6)
+        return wait_until(self.ready, 6)
 
     def ready(self, which: int = -1) -> bool:
         with suppress(OSError):
@@ -79,7 +79,7 @@
 @contextmanager
 def pair(tmp: Path, *backends: Backend, **other: object) -> Iterator[Pair]:
     with Pair(tmp, list(backends), **other) as relay:
-        until(relay.ready)
+        wait_until(relay.ready)
         yield relay
 
 
@@ -124,7 +124,7 @@
     }
     with pair(tmp_path, backend, settings=unhurried) as relay:
         stream = Stream(relay)
-        until(lambda: len(stream.answers) > 10)
+        wait_until(lambda: len(stream.answers) > 10)
         for old in range(2):
             before = []
             while len(before) < 10:
@@ -136,9 +136,9 @@
             assert not relay.ready(old), "one of the two is the one that serves"
             start = time.monotonic()
             relay.processes[old].terminate()
-            assert [client.hear() for client in before] == ["MOVE"] * len(before)
+            assert [client.read_line() for client in before] == ["MOVE"] * len(before)
             assert relay.processes[old].wait(timeout=4) == 0 and time.monotonic() - start < 3.7
-            until(lambda count=count: len(stream.answers) > count + 20)
+            wait_until(lambda count=count: len(stream.answers) > count + 20)
         stream.end()
         assert set(stream.answers) == {"UP r"}, "nobody was turned back or lost"
         assert len(backend.heads) == len(stream.answers) + others, "and nobody set up twice"
@@ -172,7 +172,7 @@
             waits.link.sendall(b"PING\r\n")
             time.sleep(0.3)
             assert not relay.said("serves on"), "it waits in the system's queue"
-        assert waits.hear() == "PONG" and relay.ready()
+        assert waits.read_line() == "PONG" and relay.ready()
         # And one that lives on without a word: the lease ends.
         with closing(socket.socket(socket.AF_UNIX)) as link:
             connect_to(link, path)
@@ -189,7 +189,7 @@
     with pair(tmp_path, Backend("a")) as relay:
         assert relay.next() < 6 and not relay.ready(0)
         relay.process.kill()
-        until(lambda: relay.ready(0))
+        wait_until(lambda: relay.ready(0))
         assert relay.client().open() == "UP r"
 
 
@@ -235,9 +235,9 @@
         again = f"OPEN {client.id} k c=feed,d=1500,g=g1"
         assert relay.client().say(again) == "ERR"
         relay.processes[0].terminate()
-        assert client.hear() == "MOVE"
+        assert client.read_line() == "MOVE"
         relay.processes[0].wait(timeout=4)
-        until(lambda: relay.said("the process before has ended"))
+        wait_until(lambda: relay.said("the process before has ended"))
         assert relay.client().say(again) == "UP r"
 
 
@@ -245,7 +245,7 @@
     backends = [Backend("a"), Backend("b")]
     with pair(tmp_path, *backends) as relay:
         relay.discovery.tell(backends[0].entry("draining"))
-        until(lambda: len(relay.discovery.calls) > 1)
+        wait_until(lambda: len(relay.discovery.calls) > 1)
         # Discovery is deaf from here on, and what the new process was started with is older.
         relay.discovery.broken = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
         assert relay.next() < 6
@@ -299,7 +299,7 @@
     with pair(tmp_path, Backend("a")) as relay:
         assert relay.next() < 6
         relay.reload()
-        until(lambda: relay.said("configuration read again"))
+        wait_until(lambda: relay.said("configuration read again"))
         assert not relay.said("can't be used") and relay.client().open() == "UP r"
 
 
@@ -321,7 +321,7 @@
         assert both <= 150
         relay.processes[0].terminate()
         assert relay.processes[0].wait(timeout=4) == 0
-        until(lambda: relay.client().say("PING") == "PONG", 3)
+        wait_until(lambda: relay.client().say("PING") == "PONG", 3)
 
 
 def test_a_folder_of_any_length_serves(tmp_path: Path) -> None:
@@ -385,11 +385,11 @@
 
 
 def test_what_the_old_process_has_learned_goes_over_and_is_not_unlearned() -> None:
-    old = fleet(size=2, asked=None)
+    old = host_with_backends(size=2, asked=None)
     kinds = Indices(["k"])
-    teach(old)
+    learn_loads(old)
     told = json.loads(json.dumps(beliefs.told_of(old.balancer, kinds, old.now)))
-    new = fleet(size=2, asked=None, now=old.now)
+    new = host_with_backends(size=2, asked=None, now=old.now)
     with raises(ValueError):
         beliefs.follow(new.balancer, kinds, told | {"loads": told["loads"][1:]}, new.now)
     with raises(ValueError):
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from helpers import MS, SECOND, Backend, Program, facts, until
+from helpers import MS, SECOND, Backend, RelayProgram, make_settings, wait_until
 from pytest import fixture, mark
 from twisted.internet.task import Clock
 
@@ -16,7 +16,7 @@
 from cedarledge.net.timers import Timers
 from cedarledge.terms import Outcome
 
-# Places of the classes that `helpers.facts` has.
+# Places of the classes that `helpers.make_settings` has.
 IDEMPOTENT, DEDUP_ALL, DEDUP_ZONE, DEDUP_CELL, NON_IDEMPOTENT = range(5)
 NAMES = ["a", "b", "c"]
 # b shares the zone of a and not its cell; c shares nothing with it.
@@ -33,7 +33,7 @@
     def __init__(self) -> None:
         self.now = 1000 * SECOND
         self.invariants = Invariants()
-        self.guard = RequestGuard(self.invariants, lambda: self.now, facts().profiles, LISTED, NAMES)
+        self.guard = RequestGuard(self.invariants, lambda: self.now, make_settings().profiles, LISTED, NAMES)
 
     def request(self, request_class: int = IDEMPOTENT) -> RequestRecord:
         return RequestRecord("id", request_class, self.now + 3 * SECOND)
@@ -105,7 +105,7 @@
     allowed = {backend for backend in LISTED if scene.guard.may_attempt(request, backend, is_ready=True)}
     assert allowed == may_go_to
     assert scene.guard.may_reject(request) == may_reject
-    window = facts().profiles[request_class].window
+    window = make_settings().profiles[request_class].window
     scene.now = request.attempts[0].began + window + TIME_LIMIT_GRACE
     later = {backend for backend in LISTED if scene.guard.may_attempt(request, backend, is_ready=True)}
     assert later == (may_go_to if request_class == IDEMPOTENT else set())
@@ -138,15 +138,15 @@
 
 
 def test_a_relay_that_was_paused_counts_no_stuck_deadlines(tmp_path: Path) -> None:
-    with Program(tmp_path, [Backend("a")]) as relay:
+    with RelayProgram(tmp_path, [Backend("a")]) as relay:
         client = relay.client()
         assert client.open() == "UP r"
         relay.pause()
         client.link.sendall(b"M 1\r\n")
         time.sleep(2.5)
-        relay.go_on()
-        assert client.hear() == "M 1"
-        relay.ask_to_stop()
+        relay.resume()
+        assert client.read_line() == "M 1"
+        relay.terminate()
         assert relay.process.wait(8) == 0
         assert "no invariant broken" in relay.log.read_text()
 
@@ -154,14 +154,14 @@
 def test_the_log_says_what_became_of_each_request(tmp_path: Path) -> None:
     """Ids, attempts and how they ended, why it was closed; and the counts at the end."""
     backends = [Backend("a", "ERR")]
-    with Program(tmp_path, backends) as relay:
+    with RelayProgram(tmp_path, backends) as relay:
         failed, silent = relay.client(), relay.client()
         assert failed.open(names="c=bill,d=1500") == "ERR"
         backends[0].modes = ["UP r"]
-        until(lambda: silent.open() == "UP r")
+        wait_until(lambda: silent.open() == "UP r")
         backends[0].deaf = True
         silent.link.sendall(b"M 1\r\n")
-        assert silent.hear() == "MOVE"
+        assert silent.read_line() == "MOVE"
         relay.process.send_signal(signal.SIGTERM)
         assert relay.process.wait(8) == 0
         log = relay.log.read_text()
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import dataclass, field
 
-from helpers import MS, SECOND, START, Ledger, facts, listed
+from helpers import MS, SECOND, START, RuleCheckingHost, list_entry, make_settings
 from pytest import approx
 
 from cedarledge.settings import check_settings, deployment_settings
@@ -26,7 +26,7 @@
     """Backends that report what all relays together have placed there, and clients that come to any relay."""
 
     shapes: list[dict]
-    ledgers: list[Ledger] = field(default_factory=list)
+    hosts: list[RuleCheckingHost] = field(default_factory=list)
     held: dict[int, int] = field(default_factory=dict)
     ends: list[tuple[int, int, int]] = field(default_factory=list)  # when, ledger, tunnel
     asked: dict[str, list[int]] = field(default_factory=lambda: {"old": [0, 0], "new": [0, 0]})
@@ -35,26 +35,26 @@
     def __post_init__(self) -> None:
         self.chance = random.Random(5)
         for me, shape in enumerate(self.shapes):
-            ledger = Ledger(facts(me=me, seed=me, zone=me % 2, **shape))
-            ledger.tell(ListForm.RESTORED, *(listed(ep, cells=4) for ep in range(COLD)))
-            self.ledgers.append(ledger)
+            host = RuleCheckingHost(make_settings(me=me, seed=me, zone=me % 2, **shape))
+            host.tell(ListForm.RESTORED, *(list_entry(ep, cells=4) for ep in range(COLD)))
+            self.hosts.append(host)
 
     def tell(self, entry) -> None:
-        for ledger in self.ledgers:
-            ledger.tell(ListForm.CHANGES, entry)
+        for host in self.hosts:
+            host.tell(ListForm.CHANGES, entry)
 
     def run(self, until: int, rate: float) -> None:
         """Lets clients come, stay for 8 s in the mean, and go."""
-        now = self.ledgers[0].now
+        now = self.hosts[0].now
         due = 0.0
         while now < START + until:
             now += 50 * MS
-            for ledger in self.ledgers:
-                ledger.run(now - ledger.now)
-                for _, ep in ledger.probes:
-                    ledger.report(ep, self.held.get(ep, 0) / FULL_AT)
-                ledger.probes.clear()
-                ledger.check()
+            for host in self.hosts:
+                host.run(now - host.now)
+                for _, ep in host.probes:
+                    host.report(ep, self.held.get(ep, 0) / FULL_AT)
+                host.probes.clear()
+                host.check()
             self._end(now)
             due += rate * 0.05
             while due >= 1:
@@ -63,32 +63,32 @@
 
     def _end(self, now: int) -> None:
         for _, which, tun in [end for end in self.ends if end[0] <= now]:
-            ledger = self.ledgers[which]
-            if ledger.cases[tun].setups[-1][2] is None:
-                self.held[ledger.cases[tun].setups[-1][0]] -= 1
-                ledger.end(tun, Outcome.CANCELLED if tun in ledger.moves else Outcome.DONE)
+            host = self.hosts[which]
+            if host.requests[tun].setups[-1][2] is None:
+                self.held[host.requests[tun].setups[-1][0]] -= 1
+                host.end(tun, Outcome.CANCELLED if tun in host.moves else Outcome.DONE)
         self.ends = [end for end in self.ends if end[0] > now]
 
     def _arrive(self, now: int) -> None:
-        which = self.chance.randrange(len(self.ledgers))
-        ledger = self.ledgers[which]
-        count = self.asked["old" if ledger.site.relays == OLD["relays"] else "new"]
+        which = self.chance.randrange(len(self.hosts))
+        host = self.hosts[which]
+        count = self.asked["old" if host.settings.relays == OLD["relays"] else "new"]
         count[0] += 1
-        for ep in ledger.balancer.state.backends:
-            ledger.told[ep] = self.held.get(ep, 0) / FULL_AT
+        for ep in host.balancer.state.backends:
+            host.told[ep] = self.held.get(ep, 0) / FULL_AT
         key = f"client {self.chance.randrange(400)}"
-        tun = ledger.arrive(key=key, group=f"firm {self.chance.randrange(20)}", budget=2 * SECOND)
-        case = ledger.cases[tun]
+        tun = host.arrive(key=key, group=f"firm {self.chance.randrange(20)}", budget=2 * SECOND)
+        case = host.requests[tun]
         while case.setups and case.setups[-1][2] is None and not case.setups[-1][3]:
             ep = case.setups[-1][0]
             if ep == COLD:
                 self.cold_sends.append(now)
             if self.held.get(ep, 0) >= 1.3 * FULL_AT:
-                ledger.end(tun, Outcome.FULL)
+                host.end(tun, Outcome.FULL)
                 continue
             self.held[ep] = self.held.get(ep, 0) + 1
             count[1] += 1
-            ledger.open(tun)
+            host.open(tun)
             self.ends.append((now + int(SECOND * self.chance.expovariate(1 / 8)), which, tun))
 
     def opened(self) -> tuple[float, float]:
@@ -98,12 +98,12 @@
 def test_both_kinds_of_relay_keep_the_rules_and_neither_starves_the_other() -> None:
     fleet = Fleet(SHAPES)
     fleet.run(15 * SECOND, 20)  # two thirds full
-    fleet.tell(listed(0, BackendState.DRAINING, cells=4))
+    fleet.tell(list_entry(0, BackendState.DRAINING, cells=4))
     fleet.run(18 * SECOND, 20)  # no ledger takes a send to it
-    started = fleet.ledgers[0].now
-    fleet.tell(listed(COLD, started=started, cells=4))
+    started = fleet.hosts[0].now
+    fleet.tell(list_entry(COLD, started=started, cells=4))
     fleet.run(28 * SECOND, 20)
-    site = fleet.ledgers[0].site
+    site = fleet.hosts[0].settings
     assert fleet.cold_sends, "the cold budget is there to be used"
     for at in fleet.cold_sends:
         # The rule's multiple of what a backend can take as it warms, counted over both kinds together.
@@ -167,7 +167,7 @@
     def sends(**other: object) -> list[tuple[int, int, int]]:
         fleet = Fleet([{"relays": 4, "grouped": False, **other}] * 4)
         fleet.run(10 * SECOND, 20)
-        return [send for ledger in fleet.ledgers for send in ledger.sends]
+        return [send for host in fleet.hosts for send in host.sends]
 
     assert sends() == sends(crossing=0.01)
     assert sends() != sends(crossing=0.1)
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -16,7 +16,7 @@
 from contextlib import ExitStack, contextmanager, suppress
 from pathlib import Path
 
-from helpers import Backend, Client, Program, until
+from helpers import Backend, Client, RelayProgram, wait_until
 from pytest import mark
 from test_handover import Pair
 
@@ -41,13 +41,13 @@
             link.close()
         self.programs = [self.start(place, name) for place, name in enumerate(names)]
 
-    def start(self, place: int, name: str, text: str = "") -> Program:
+    def start(self, place: int, name: str, text: str = "") -> RelayProgram:
         folder = self.folder / f"{place}-{name}"
         folder.mkdir(exist_ok=True)
         seeds = ", ".join(f'"{address}"' for address in self.addresses[:3])
         (folder / "file").write_text(text or FILE.format(self.addresses[place], seeds))
         arguments = ["relay", "--file", str(folder / "file")]
-        return self.stack.enter_context(Program(folder, self.backends, arguments, name=name))
+        return self.stack.enter_context(RelayProgram(folder, self.backends, arguments, name=name))
 
     def free(self) -> str:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as link:
@@ -76,42 +76,42 @@
 def relays(folder: Path, *names: str):
     with ExitStack() as stack:
         fleet = Relays(stack, folder, [Backend("b-a"), Backend("b-b")], list(names))
-        until(lambda: fleet.all_see(*names), 10)
+        wait_until(lambda: fleet.all_see(*names), 10)
         yield fleet
 
 
-def logged(program: Program, event: str) -> list[dict]:
+def logged(program: RelayProgram, event: str) -> list[dict]:
     lines = [json.loads(line) for line in program.log.read_text().splitlines() if line.startswith("{")]
     return [line for line in lines if line.get("event") == event]
 
 
 def test_a_kill_a_stop_a_restart_and_a_planned_end_are_told_apart_in_time(tmp_path: Path) -> None:
     with relays(tmp_path, "n0", "n1", "n2", "n3") as fleet:
-        until(lambda: all("state" in row.told for row in fleet.rows(0)), 10)
+        wait_until(lambda: all("state" in row.told for row in fleet.rows(0)), 10)
         told = {row.name: row.told for row in fleet.rows(0)}
         assert [told[name]["state"] for name in ("n0", "n1", "n2", "n3")] == ["ready"] * 4
         assert len({told[name]["settings"] for name in told}) == 1 and told["n1"]["zone"] == "here"
         client = fleet.programs[0].client()
         assert client.open() == "UP r"
-        until(lambda: {row.name: row.told for row in fleet.rows(2)}["n0"].get("tunnels") == 1, 10)
+        wait_until(lambda: {row.name: row.told for row in fleet.rows(2)}["n0"].get("tunnels") == 1, 10)
         # Faster than it can be suspected: nobody ever holds it dead.
         fleet.programs[3].process.kill()
         fleet.programs[3].process.wait()
         fleet.programs[3].start()
-        until(lambda: fleet.all_see("n0", "n1", "n2", "n3"), 10)
+        wait_until(lambda: fleet.all_see("n0", "n1", "n2", "n3"), 10)
         # Killed for good, while it held a client.
         assert fleet.programs[1].client().open() == "UP r"
         fleet.programs[1].process.kill()
-        until(lambda: {fleet.view(place).get("n1") for place in (0, 2, 3)} == {"dead"}, 10)
+        wait_until(lambda: {fleet.view(place).get("n1") for place in (0, 2, 3)} == {"dead"}, 10)
         # Stopped, and let go: it was dead to the others, and holds none of them dead when it wakes.
         fleet.programs[2].process.send_signal(signal.SIGSTOP)
-        until(lambda: fleet.view(0)["n2"] == "dead" and fleet.view(3)["n2"] == "dead", 12)
+        wait_until(lambda: fleet.view(0)["n2"] == "dead" and fleet.view(3)["n2"] == "dead", 12)
         fleet.programs[2].process.send_signal(signal.SIGCONT)
-        until(lambda: fleet.all_see("n0", "n2", "n3"), 8)
+        wait_until(lambda: fleet.all_see("n0", "n2", "n3"), 8)
         assert not [line for line in logged(fleet.programs[2], "peers.dead") if line["peer"] != "n1"]
         # A planned end is said, not guessed.
-        fleet.programs[3].ask_to_stop()
-        until(lambda: fleet.view(0)["n3"] == "left" and fleet.view(2)["n3"] == "left", 6)
+        fleet.programs[3].terminate()
+        wait_until(lambda: fleet.view(0)["n3"] == "left" and fleet.view(2)["n3"] == "left", 6)
         assert [line["peer"] for line in logged(fleet.programs[0], "peers.dead")] == ["n1", "n2"]
         assert client.say("M 1") == "M 1" and fleet.programs[2].client().open() == "UP r"
 
@@ -122,23 +122,23 @@
         (tmp_path / "file").write_text(FILE.format(address, f'"{fleet.addresses[0]}"'))
         arguments = ["relay", "--file", str(tmp_path / "file")]
         with Pair(tmp_path, fleet.backends, arguments=arguments, name="n2") as pair:
-            until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
+            wait_until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
             client = Client(pair.address)
             assert client.open() == "UP r"
             pair.next()
             # The process before still has the port and the name; the new one serves all the same.
-            until(lambda: pair.said("tried again each second"))
+            wait_until(lambda: pair.said("tried again each second"))
             assert Client(pair.address).open("k2") == "UP r"
             pair.processes[0].send_signal(signal.SIGTERM)
-            until(lambda: pair.log.read_text().count("peers: on as n2") == 2, 10)
-            until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
-            assert client.hear() == "MOVE"
+            wait_until(lambda: pair.log.read_text().count("peers: on as n2") == 2, 10)
+            wait_until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
+            assert client.read_line() == "MOVE"
             # And one that is killed with a hand-over just begun.
             pair.start()
             pair.processes[1].kill()
-            until(lambda: pair.log.read_text().count("peers: on as n2") == 3, 10)
-            until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
-            until(lambda: Client(pair.address).open("k3") == "UP r")
+            wait_until(lambda: pair.log.read_text().count("peers: on as n2") == 3, 10)
+            wait_until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
+            wait_until(lambda: Client(pair.address).open("k3") == "UP r")
         assert not [line for line in logged(fleet.programs[0], "peers.dead") if line["peer"] == "n2"]
 
 
@@ -149,7 +149,7 @@
         for program in fleet.programs:
             program.process.wait()
             program.start()
-        until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
+        wait_until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
         assert all(program.client().open() == "UP r" for program in fleet.programs)
 
 
@@ -158,9 +158,9 @@
         fleet.addresses.append(fleet.free())
         double = fleet.start(3, "n2")
         pair = (double, fleet.programs[2])
-        until(lambda: any("another relay of this name" in each.log.read_text() for each in pair), 10)
+        wait_until(lambda: any("another relay of this name" in each.log.read_text() for each in pair), 10)
         assert all(program.client().open() == "UP r" for program in pair)
-        until(lambda: fleet.view(0) == {"n0": "self", "n1": "alive", "n2": "alive"}, 10)
+        wait_until(lambda: fleet.view(0) == {"n0": "self", "n1": "alive", "n2": "alive"}, 10)
 
 
 def test_a_port_that_is_taken_and_seeds_that_never_answer_hold_nothing_up(tmp_path: Path) -> None:
@@ -170,7 +170,7 @@
         late = fleet.start(1, "n1")
         assert late.client().open() == "UP r" and "tried again" in late.log.read_text()
         taken.close()
-        until(lambda: fleet.view(0) == {"n0": "self", "n1": "alive"}, 10)
+        wait_until(lambda: fleet.view(0) == {"n0": "self", "n1": "alive"}, 10)
         silent = FILE.format(
             fleet.addresses[1].replace("127.0.0.1", "127.0.0.2"), '"127.0.0.9:9", "10.255.255.1:9"'
         )
@@ -199,7 +199,7 @@
                 took.append(time.monotonic() - start)
         assert sent > 10_000 and statistics.median(took) < 0.1 and max(took) < 1
         assert resident() - before < 12 << 10
-        until(lambda: fleet.view(0).get("n1") == "alive" and fleet.view(1).get("n0") == "alive", 20)
+        wait_until(lambda: fleet.view(0).get("n1") == "alive" and fleet.view(1).get("n0") == "alive", 20)
 
 
 def test_a_change_of_peers_on_sighup_is_one_refused_line_and_all_goes_on(tmp_path: Path) -> None:
@@ -210,7 +210,9 @@
             path.write_text(text + "[boxes]\naside = ['b-a', 'b-b']\n")
             before = fleet.programs[0].log.read_text().count("takes a restart")
             fleet.programs[0].process.send_signal(signal.SIGHUP)
-            until(lambda before=before: fleet.programs[0].log.read_text().count("takes a restart") > before)
+            wait_until(
+                lambda before=before: fleet.programs[0].log.read_text().count("takes a restart") > before
+            )
         path.write_text(good)
         assert fleet.programs[0].log.read_text().count("takes a restart") == 2
         assert fleet.view(0) == {"n0": "self", "n1": "alive"} and fleet.programs[0].client().open() == "UP r"
@@ -285,7 +287,7 @@
             for name in names
         }
         keys = {name: {"on": True, "listen": f"127.0.0.1:{port}"} for name in ("peers", "operator", "file")}
-        program = Program.__new__(Program)
+        program = RelayProgram.__new__(RelayProgram)
         before = {name: os.environ.get(name) for name in ("PYTHONPATH", *misleading)}
         os.environ.update(misleading | {"PYTHONPATH": str(source)})
         cwd = Path.cwd()
--- a/tests/test_policy_groups.py
+++ b/tests/test_policy_groups.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from helpers import SECOND, Ledger, facts, fleet, listed
+from helpers import SECOND, RuleCheckingHost, host_with_backends, list_entry, make_settings
 from pytest import approx, mark
 
 from cedarledge.policy import utilization
@@ -14,27 +14,27 @@
 GROUPS = "abcdefgh"
 
 
-def zoned_fleet(zones: int, zone: int, **other: object) -> Ledger:
+def zoned_fleet(zones: int, zone: int, **other: object) -> RuleCheckingHost:
     """Twelve backends at load 0.3, two cells a zone, before a relay in one of the zones."""
     told = {"grouped": True, "crossing": 0.2, "relays": 60, "zones": zones} | other
-    ledger = Ledger(facts(zone=zone, me=zone, seed=zone, **told))
+    host = RuleCheckingHost(make_settings(zone=zone, me=zone, seed=zone, **told))
     backends = [
-        listed(number)._replace(zone=number % zones, cell=number % (2 * zones)) for number in range(12)
+        list_entry(number)._replace(zone=number % zones, cell=number % (2 * zones)) for number in range(12)
     ]
-    ledger.tell(ListForm.RESTORED, *backends)
+    host.tell(ListForm.RESTORED, *backends)
     for backend in backends:
-        ledger.report(backend.ep, 0.3)
-    ledger.run(SECOND)
+        host.report(backend.ep, 0.3)
+    host.run(SECOND)
     for backend in backends:
-        ledger.report(backend.ep, 0.3)
-    return ledger
+        host.report(backend.ep, 0.3)
+    return host
 
 
-def home(ledger: Ledger, group: str) -> int:
+def home(host: RuleCheckingHost, group: str) -> int:
     """The backend that gets a group's first connection."""
-    connection_id = ledger.arrive(key=f"client of {group}", group=group)
-    backend_id = ledger.cases[connection_id].setups[-1][0]
-    ledger.end(connection_id, Outcome.DONE)
+    connection_id = host.arrive(key=f"client of {group}", group=group)
+    backend_id = host.requests[connection_id].setups[-1][0]
+    host.end(connection_id, Outcome.DONE)
     return backend_id
 
 
@@ -56,7 +56,7 @@
     placed = set()
     for number in range(20):
         connection_id = relay.arrive(key=str(number))
-        placed.add(relay.cases[connection_id].setups[-1][0] % ZONES)
+        placed.add(relay.requests[connection_id].setups[-1][0] % ZONES)
         relay.end(connection_id, Outcome.DONE)
     assert placed == {1}
 
@@ -74,70 +74,70 @@
 @mark.parametrize(("others", "moves"), [(0.66, True), (0.85, False)])
 def test_groups_leave_an_overloaded_backend_while_the_others_have_room(others: float, moves: bool) -> None:
     """Room is a mean below what backends are relieved to, not one at which arrivals begin to be shed."""
-    ledger = fleet(8, others, cells=1, grouped=True, relays=1)
+    host = host_with_backends(8, others, cells=1, grouped=True, relays=1)
     for number in range(70):
-        ledger.adopt(1 + number % 7, hint=10.0, group=GROUPS[number % 8])
+        host.adopt(1 + number % 7, hint=10.0, group=GROUPS[number % 8])
     for number in range(20):
-        ledger.adopt(0, hint=10.0, group=GROUPS[number % 8])
-    ledger.run(3 * SECOND)
+        host.adopt(0, hint=10.0, group=GROUPS[number % 8])
+    host.run(3 * SECOND)
     for backend_id in range(8):
-        ledger.report(backend_id, 1.1 if backend_id == 0 else others)
-    ledger.balancer.state.fleet_load_until = 0
-    ledger.run(2 * TICK)
-    assert bool(ledger.moves) is moves
+        host.report(backend_id, 1.1 if backend_id == 0 else others)
+    host.balancer.state.fleet_load_until = 0
+    host.run(2 * TICK)
+    assert bool(host.moves) is moves
 
 
 @mark.parametrize("grouped", [True, False])
 def test_a_few_overloaded_backends_are_no_sample_of_the_fleet(grouped: bool) -> None:
     """Relays see first the backends of their own clients: one report of 54 had most arrivals rejected."""
-    ledger = Ledger(facts(grouped=grouped, relays=200, probes=False))
-    ledger.tell(ListForm.RESTORED, *(listed(number) for number in range(54)))
+    host = RuleCheckingHost(make_settings(grouped=grouped, relays=200, probes=False))
+    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(54)))
     for _ in range(20):
-        ledger.report(0, 1.05)
-        ledger.run(SECOND // 4)
+        host.report(0, 1.05)
+        host.run(SECOND // 4)
     for number in range(30):
-        ledger.arrive(key=str(number), group=f"group {number}")
-    assert not ledger.declines
+        host.arrive(key=str(number), group=f"group {number}")
+    assert not host.declines
     for backend_id in range(1, 6):
-        ledger.report(backend_id, 1.05)
-    ledger.run(SECOND)
+        host.report(backend_id, 1.05)
+    host.run(SECOND)
     for number in range(30, 60):
-        ledger.arrive(key=str(number), group=f"group {number}")
-    assert ledger.declines, "by half a dozen it is overloaded"
+        host.arrive(key=str(number), group=f"group {number}")
+    assert host.declines, "by half a dozen it is overloaded"
 
 
 def test_reports_that_have_grown_old_reject_nobody() -> None:
-    ledger = Ledger(facts(grouped=True, relays=200, probes=False))
-    ledger.tell(ListForm.RESTORED, *(listed(number) for number in range(54)))
+    host = RuleCheckingHost(make_settings(grouped=True, relays=200, probes=False))
+    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(54)))
     for backend_id in range(8):
-        ledger.report(backend_id, 1.05)
-    ledger.run(20 * SECOND)
+        host.report(backend_id, 1.05)
+    host.run(20 * SECOND)
     for number in range(30):
-        ledger.arrive(key=str(number), group=f"group {number}")
-    assert not ledger.declines
+        host.arrive(key=str(number), group=f"group {number}")
+    assert not host.declines
 
 
 def test_backends_of_a_kind_whose_capacity_is_unknown_count_like_the_others() -> None:
     """They weighed 1 beside millions, in whatever unit loads came, so a relay saw its own backends alone."""
-    ledger = Ledger(facts(relays=2))
-    ledger.tell(ListForm.RESTORED, *(listed(number)._replace(kind=number // 4) for number in range(8)))
-    state = ledger.balancer.state
+    host = RuleCheckingHost(make_settings(relays=2))
+    host.tell(ListForm.RESTORED, *(list_entry(number)._replace(kind=number // 4) for number in range(8)))
+    state = host.balancer.state
     for backend_id in range(4):
-        ledger.adopt(backend_id, hint=20_000.0)
-    ledger.run(SECOND)
+        host.adopt(backend_id, hint=20_000.0)
+    host.run(SECOND)
     for backend_id in range(8):
-        ledger.balancer.probed(ledger.now, backend_id, True, LoadReport(asked=0.9 if backend_id < 4 else 0.1))
+        host.balancer.probed(host.now, backend_id, True, LoadReport(asked=0.9 if backend_id < 4 else 0.1))
     state.fleet_load_until = 0
-    assert state.capacity[1].weight.read(ledger.now) == 0
-    assert utilization.fleet(state, ledger.now) == approx(0.5, abs=0.05)
+    assert state.capacity[1].weight.read(host.now) == 0
+    assert utilization.fleet(state, host.now) == approx(0.5, abs=0.05)
 
 
 def test_with_no_reports_at_all_cold_backends_get_a_careful_part_of_their_budget() -> None:
     """Reports may come with answers alone: the budget of a whole warm-up lay idle."""
-    ledger = Ledger(facts(relays=1, probes=False))
-    ledger.tell(ListForm.RESTORED, *(listed(number) for number in range(8)))
+    host = RuleCheckingHost(make_settings(relays=1, probes=False))
+    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(8)))
     for number in range(80):
-        ledger.open(ledger.arrive(key=str(number)))
-    ledger.run(SECOND)
+        host.open(host.arrive(key=str(number)))
+    host.run(SECOND)
     known = 80 / 8 / 0.5 / 10  # a second, were all known to be half full
-    assert 0.3 * known < ledger.balancer.state.fill_rate <= known
+    assert 0.3 * known < host.balancer.state.fill_rate <= known
--- a/tests/test_policy_overload.py
+++ b/tests/test_policy_overload.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from itertools import pairwise
 
-from helpers import SECOND, Ledger, facts, listed
+from helpers import SECOND, RuleCheckingHost, list_entry, make_settings
 from policy_models import RequestClass
 from pytest import approx
 from test_policy_laws import LEAST, sent_too_many
@@ -33,41 +33,41 @@
     Found by the law of relays that reject all they get: right after a start, with every connection adopted,
     the mean stood at 2.06 (fleet 0.80), 1.35 (0.67) and 2.41 (1.05), and the shed fraction at 0.76 to 0.98.
     """
-    ledger = Ledger(facts(relays=4))
-    ledger.tell(ListForm.RESTORED, *(listed(number) for number in range(4)))
+    host = RuleCheckingHost(make_settings(relays=4))
+    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(4)))
     for number in range(40):
-        ledger.adopt(number % 4, hint=10.0)
+        host.adopt(number % 4, hint=10.0)
     for backend_id in range(4):
-        ledger.balancer.probed(ledger.now, backend_id, True, LoadReport(asked=0.5))
-    assert fleet_load(ledger.balancer.state, ledger.now) == approx(0.5, abs=0.01)
+        host.balancer.probed(host.now, backend_id, True, LoadReport(asked=0.5))
+    assert fleet_load(host.balancer.state, host.now) == approx(0.5, abs=0.01)
 
 
 def test_a_load_that_is_told_after_a_report_is_no_change_since_that_report() -> None:
     """A connection from before this relay's start may come without its load, which its lines tell later."""
-    ledger = Ledger(facts(relays=4))
-    ledger.tell(ListForm.RESTORED, *(listed(number) for number in range(4)))
-    connections = [ledger.adopt(number % 4) for number in range(40)]
+    host = RuleCheckingHost(make_settings(relays=4))
+    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(4)))
+    connections = [host.adopt(number % 4) for number in range(40)]
     for connection_id in connections[:36]:
-        ledger.balancer.load_told(ledger.now, connection_id, 10.0)
+        host.balancer.load_told(host.now, connection_id, 10.0)
     for backend_id in range(4):
-        ledger.balancer.probed(ledger.now, backend_id, True, LoadReport(asked=0.5))
+        host.balancer.probed(host.now, backend_id, True, LoadReport(asked=0.5))
     for connection_id in connections[36:]:
-        ledger.balancer.load_told(ledger.now, connection_id, 100.0)
-    assert fleet_load(ledger.balancer.state, ledger.now) == approx(0.5, abs=0.01)
+        host.balancer.load_told(host.now, connection_id, 100.0)
+    assert fleet_load(host.balancer.state, host.now) == approx(0.5, abs=0.01)
 
 
 def test_the_fleets_mean_does_not_hang_on_where_a_relays_own_connections_are() -> None:
     """What a backend seems to bear is guessed from the connections here: many here look like much room."""
-    ledger = Ledger(facts(relays=40))
-    ledger.tell(ListForm.RESTORED, *(listed(number) for number in range(8)))
+    host = RuleCheckingHost(make_settings(relays=40))
+    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(8)))
     for number in range(9):
-        ledger.adopt(0 if number < 8 else 1, hint=1.0)
-    ledger.run(SECOND)
+        host.adopt(0 if number < 8 else 1, hint=1.0)
+    host.run(SECOND)
     for _ in range(8):
         for backend_id in range(8):
             asked = 0.9 if backend_id == 0 else 0.4
-            ledger.balancer.probed(ledger.now, backend_id, True, LoadReport(asked=asked))
-    assert fleet_load(ledger.balancer.state, ledger.now) == approx((0.9 + 7 * 0.4) / 8, abs=0.02)
+            host.balancer.probed(host.now, backend_id, True, LoadReport(asked=asked))
+    assert fleet_load(host.balancer.state, host.now) == approx((0.9 + 7 * 0.4) / 8, abs=0.02)
 
 
 def test_without_probes_backends_that_were_never_met_are_no_reason_to_reject() -> None:
@@ -76,121 +76,121 @@
     Found by the law of fresh relays: one relay of one, 120 backends, 39 with a report. They stood at 1.58,
     the fleet at 0.57 as the others were idle, and it rejected 1,023 of 1,176 requests.
     """
-    ledger = Ledger(facts(relays=1, probes=False))
-    ledger.tell(ListForm.RESTORED, *(listed(number) for number in range(12)))
+    host = RuleCheckingHost(make_settings(relays=1, probes=False))
+    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(12)))
     for number in range(120):
-        ledger.adopt(number % 4, hint=1.0)
+        host.adopt(number % 4, hint=1.0)
     for backend_id in range(4):
-        ledger.report(backend_id, 1.2)
-    assert fleet_load(ledger.balancer.state, ledger.now) == approx(1.2 * 4 / 12, abs=0.05)
+        host.report(backend_id, 1.2)
+    assert fleet_load(host.balancer.state, host.now) == approx(1.2 * 4 / 12, abs=0.05)
 
 
 def test_where_this_relay_has_next_to_no_clients_backends_without_any_may_be_loaded_like_others() -> None:
-    ledger = Ledger(facts(relays=230, probes=False))
-    ledger.tell(ListForm.RESTORED, *(listed(number) for number in range(54)))
+    host = RuleCheckingHost(make_settings(relays=230, probes=False))
+    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(54)))
     for backend_id in range(5):
-        ledger.adopt(backend_id, hint=1.0)
-        ledger.report(backend_id, 0.9)
-    assert fleet_load(ledger.balancer.state, ledger.now) > 0.45
+        host.adopt(backend_id, hint=1.0)
+        host.report(backend_id, 0.9)
+    assert fleet_load(host.balancer.state, host.now) > 0.45
 
 
 def test_where_backends_are_probed_only_reports_count() -> None:
     """Probes go round all backends: the ones that they have not come to yet are like the ones they have."""
-    ledger = Ledger(facts(relays=1, probes=True))
-    ledger.tell(ListForm.RESTORED, *(listed(number) for number in range(12)))
+    host = RuleCheckingHost(make_settings(relays=1, probes=True))
+    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(12)))
     for number in range(120):
-        ledger.adopt(number % 4, hint=1.0)
+        host.adopt(number % 4, hint=1.0)
     for backend_id in range(4):
-        ledger.report(backend_id, 0.9)
-    assert fleet_load(ledger.balancer.state, ledger.now) == approx(0.9, abs=0.01)
+        host.report(backend_id, 0.9)
+    assert fleet_load(host.balancer.state, host.now) == approx(0.9, abs=0.01)
 
 
-def rejected(ledger: Ledger) -> set[int]:
-    return {connection_id for _, connection_id in ledger.declines}
+def rejected(host: RuleCheckingHost) -> set[int]:
+    return {connection_id for _, connection_id in host.declines}
 
 
-def crowded_few(relays: int) -> Ledger:
+def crowded_few(relays: int) -> RuleCheckingHost:
     """A relay that is told of 54 backends and has fresh reports of four, all of them overloaded."""
-    ledger = Ledger(facts(relays=relays, grouped=True), answers=False)
-    ledger.tell(ListForm.RESTORED, *(listed(number) for number in range(54)))
+    host = RuleCheckingHost(make_settings(relays=relays, grouped=True), answers=False)
+    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(54)))
     for backend_id in range(4):
-        ledger.adopt(backend_id, hint=1.0)
-        ledger.report(backend_id, 1.1)
-    ledger.balancer.state.shed_fraction, ledger.balancer.state.shed_order = 1.0, [(0.0, 1.0)] * 5
-    fleet_load(ledger.balancer.state, ledger.now)
-    return ledger
+        host.adopt(backend_id, hint=1.0)
+        host.report(backend_id, 1.1)
+    host.balancer.state.shed_fraction, host.balancer.state.shed_order = 1.0, [(0.0, 1.0)] * 5
+    fleet_load(host.balancer.state, host.now)
+    return host
 
 
 def test_a_relay_that_has_seen_few_backends_probes_another_one_before_it_rejects() -> None:
-    ledger = crowded_few(relays=230)
-    connection_id = ledger.arrive(key="client")
-    (probed,) = ledger.balancer.state.waiting.values()
-    assert probed.reported < 0 and not ledger.declines
-    ledger.balancer.probed(ledger.now, probed.backend_id, True, LoadReport(asked=1.1))
-    assert connection_id in rejected(ledger), "one look is enough: the client waits"
+    host = crowded_few(relays=230)
+    connection_id = host.arrive(key="client")
+    (probed,) = host.balancer.state.waiting.values()
+    assert probed.reported < 0 and not host.declines
+    host.balancer.probed(host.now, probed.backend_id, True, LoadReport(asked=1.1))
+    assert connection_id in rejected(host), "one look is enough: the client waits"
 
 
 def test_a_probe_before_a_rejection_that_is_not_answered_holds_up_the_answer_for_a_moment_only() -> None:
-    ledger = crowded_few(relays=230)
-    connection_id = ledger.arrive(key="client")
-    ledger.run(SECOND // 10)
-    assert connection_id in rejected(ledger)
+    host = crowded_few(relays=230)
+    connection_id = host.arrive(key="client")
+    host.run(SECOND // 10)
+    assert connection_id in rejected(host)
 
 
 def test_a_relay_that_has_seen_enough_rejects_at_once() -> None:
-    ledger = crowded_few(relays=230)
+    host = crowded_few(relays=230)
     for backend_id in range(4, 14):
-        ledger.report(backend_id, 1.1)
-    connection_id = ledger.arrive(key="client")
-    assert connection_id in rejected(ledger)
+        host.report(backend_id, 1.1)
+    connection_id = host.arrive(key="client")
+    assert connection_id in rejected(host)
 
 
 def test_a_client_that_leaves_before_the_probe_is_answered_gets_nothing_more() -> None:
-    ledger = crowded_few(relays=230)
-    connection_id = ledger.arrive(key="client")
-    (probed,) = ledger.balancer.state.waiting.values()
-    ledger.balancer.client_gone(ledger.now, connection_id)
-    ledger.balancer.probed(ledger.now, probed.backend_id, True, LoadReport(asked=0.1))
-    assert connection_id not in rejected(ledger) and not ledger.cases[connection_id].setups
+    host = crowded_few(relays=230)
+    connection_id = host.arrive(key="client")
+    (probed,) = host.balancer.state.waiting.values()
+    host.balancer.client_gone(host.now, connection_id)
+    host.balancer.probed(host.now, probed.backend_id, True, LoadReport(asked=0.1))
+    assert connection_id not in rejected(host) and not host.requests[connection_id].setups
 
 
-def full_fleet(**other: object) -> Ledger:
+def full_fleet(**other: object) -> RuleCheckingHost:
     """Eight backends that all report more than they can do, before a relay that sheds all arrivals."""
-    ledger = Ledger(facts(relays=40, probes=False, grouped=True, **other))
-    ledger.tell(ListForm.RESTORED, *(listed(number, cells=2) for number in range(8)))
-    ledger.run(3 * SECOND)
-    overload(ledger)
-    return ledger
+    host = RuleCheckingHost(make_settings(relays=40, probes=False, grouped=True, **other))
+    host.tell(ListForm.RESTORED, *(list_entry(number, cells=2) for number in range(8)))
+    host.run(3 * SECOND)
+    overload(host)
+    return host
 
 
-def overload(ledger: Ledger) -> None:
+def overload(host: RuleCheckingHost) -> None:
     """Reports of every backend, which relays have from different moments."""
     for backend_id in range(8):
-        ledger.report(backend_id, 1.3 + 0.05 * ((backend_id + ledger.site.me) % 8))
-    ledger.balancer.state.shed_fraction, ledger.balancer.state.shed_order = 1.0, [(0.0, 1.0)] * 5
+        host.report(backend_id, 1.3 + 0.05 * ((backend_id + host.settings.me) % 8))
+    host.balancer.state.shed_fraction, host.balancer.state.shed_order = 1.0, [(0.0, 1.0)] * 5
 
 
-def arrive_in_turn(ledger: Ledger, count: int, gap: int, groups: list[str]) -> dict[int, str]:
+def arrive_in_turn(host: RuleCheckingHost, count: int, gap: int, groups: list[str]) -> dict[int, str]:
     """Connections that come one after the other: those that were attempted at a backend, with their group."""
     attempted = {}
     for number in range(count):
-        overload(ledger)
+        overload(host)
         group = groups[number % len(groups)]
-        connection_id = ledger.arrive(key=f"client {number}", group=group)
-        if ledger.cases[connection_id].setups:
+        connection_id = host.arrive(key=f"client {number}", group=group)
+        if host.requests[connection_id].setups:
             attempted[connection_id] = group
-            ledger.end(connection_id, Outcome.DONE)
-        ledger.run(gap)
+            host.end(connection_id, Outcome.DONE)
+        host.run(gap)
     return attempted
 
 
-def backends_of(ledger: Ledger, connection_ids: Iterable[int]) -> set[int]:
-    return {setup[0] for connection_id in connection_ids for setup in ledger.cases[connection_id].setups}
+def backends_of(host: RuleCheckingHost, connection_ids: Iterable[int]) -> set[int]:
+    return {setup[0] for connection_id in connection_ids for setup in host.requests[connection_id].setups}
 
 
 def test_of_fifteen_arrivals_within_four_seconds_one_is_attempted_however_full_the_fleet_seems() -> None:
-    ledger = full_fleet()
-    attempted = arrive_in_turn(ledger, 60, SECOND // 4, [f"group {number}" for number in range(60)])
+    host = full_fleet()
+    attempted = arrive_in_turn(host, 60, SECOND // 4, [f"group {number}" for number in range(60)])
     marks = [-1, *attempted, 60]
     assert max(after - before - 1 for before, after in pairwise(marks)) <= MOST_UNATTEMPTED
 
@@ -201,28 +201,28 @@
 
 
 def test_a_burst_alone_brings_no_trial() -> None:
-    ledger = full_fleet()
-    ledger.balancer.state.attempted_at = ledger.now
-    assert not arrive_in_turn(ledger, 40, 0, ["group"])
+    host = full_fleet()
+    host.balancer.state.attempted_at = host.now
+    assert not arrive_in_turn(host, 40, 0, ["group"])
 
 
 def test_a_trial_goes_to_a_backend_that_holds_its_group_here() -> None:
     """Anywhere else the group's shared work is paid for once more: one attempt costs what four do."""
-    ledger = full_fleet()
+    host = full_fleet()
     groups = [f"group {backend_id}" for backend_id in range(8)]
     for backend_id, group in enumerate(groups):
-        ledger.adopt(backend_id, hint=1.0, group=group)
-    attempted = arrive_in_turn(ledger, 60, SECOND // 4, groups)
+        host.adopt(backend_id, hint=1.0, group=group)
+    attempted = arrive_in_turn(host, 60, SECOND // 4, groups)
     assert attempted
     for connection_id, group in attempted.items():
-        assert backends_of(ledger, [connection_id]) == {groups.index(group)}
+        assert backends_of(host, [connection_id]) == {groups.index(group)}
 
 
 def test_all_relays_send_a_group_that_they_do_not_hold_to_the_same_backend_as_a_trial() -> None:
     chosen = set()
     for seed in range(6):
-        ledger = full_fleet(seed=seed, me=seed)
-        chosen |= backends_of(ledger, arrive_in_turn(ledger, 20, SECOND // 4, ["group"]))
+        host = full_fleet(seed=seed, me=seed)
+        chosen |= backends_of(host, arrive_in_turn(host, 20, SECOND // 4, ["group"]))
     assert len(chosen) == 1
 
 
@@ -235,11 +235,11 @@
 
 
 def test_a_trial_does_not_go_to_a_backend_that_operators_have_set_aside() -> None:
-    ledger = full_fleet()
-    ledger.adopt(0, hint=1.0, group="group")
-    ledger.balancer.knows(ledger.now, ExternalView(aside=frozenset({0})))
-    attempted = arrive_in_turn(ledger, 30, SECOND // 4, ["group"])
-    assert attempted and 0 not in backends_of(ledger, attempted)
+    host = full_fleet()
+    host.adopt(0, hint=1.0, group="group")
+    host.balancer.knows(host.now, ExternalView(aside=frozenset({0})))
+    attempted = arrive_in_turn(host, 30, SECOND // 4, ["group"])
+    assert attempted and 0 not in backends_of(host, attempted)
 
 
 def test_two_hundred_relays_stay_within_the_allowance_of_a_backend_that_is_warm_within_seconds() -> None:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -10,13 +10,13 @@
 from contextlib import suppress
 from pathlib import Path
 
-from helpers import Backend, Discovery, Program, http, reset, until
+from helpers import Backend, Discovery, RelayProgram, http, reset, wait_until
 from pytest import mark
 
 
 def test_a_tunnel_from_its_first_line_to_its_end(tmp_path: Path) -> None:
     backend = Backend("a")
-    with Program(tmp_path, [backend]) as relay:
+    with RelayProgram(tmp_path, [backend]) as relay:
         client = relay.client()
         assert client.open("some/key", "c=feed,d=1500,g=g1,again=1") == "UP r"
         start, d, rest = backend.heads[0].replace(",", " ", 1).partition("d=")
@@ -25,14 +25,14 @@
         assert client.say("M 1") == "M 1"
         backend.opened[0].sendall(b"LOAD 12.5\r\nBYE\r\n")
         backend.opened[0].shutdown(1)
-        assert [client.hear() for _ in range(3)] == ["LOAD 12.5", "BYE", ""]
+        assert [client.read_line() for _ in range(3)] == ["LOAD 12.5", "BYE", ""]
 
 
 def test_a_backend_that_says_busy_or_resets_leaves_the_tunnel_to_another(tmp_path: Path) -> None:
     for mode in ("BUSY", "reset", "hang", "ERR"):
         first, second = Backend("a", mode, "UP r"), Backend("b", mode, "UP r")
         first.modes = second.modes  # whichever comes second takes it
-        with Program(tmp_path, [first, second]) as relay:
+        with RelayProgram(tmp_path, [first, second]) as relay:
             assert relay.client().open() == "UP r"
             assert len(first.heads) == len(second.heads) == 1
             assert mode != "hang" or "reset" in first.ends + second.ends, "given up by ending it"
@@ -40,18 +40,18 @@
 
 def test_once_only_is_not_set_up_again_where_it_may_have_run(tmp_path: Path) -> None:
     backends = [Backend("a", "ERR"), Backend("b", "ERR")]
-    with Program(tmp_path, backends) as relay:
+    with RelayProgram(tmp_path, backends) as relay:
         assert relay.client().open(names="c=bill,d=1500") == "ERR"
         assert sum(len(backend.heads) for backend in backends) == 1
 
 
 def test_a_tunnel_nobody_takes_is_answered_before_the_client_gives_up(tmp_path: Path) -> None:
     backends = [Backend(name, "hang") for name in "ab"]
-    with Program(tmp_path, backends) as relay:
+    with RelayProgram(tmp_path, backends) as relay:
         took = []
         for _ in range(3):
             client, start = relay.client(), time.monotonic()
-            assert client.open(names="c=feed,d=700") == "ERR" or client.hear() == ""
+            assert client.open(names="c=feed,d=700") == "ERR" or client.read_line() == ""
             took.append(time.monotonic() - start)
         # It comes 3 ms before, as the last setup ends: one late turn of this machine's must not hide that.
         assert min(took) < 0.7
@@ -59,9 +59,9 @@
 
 def test_a_connection_that_was_open_before_goes_to_its_backend_and_no_other(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b", "BUSY", "UP r")]
-    with Program(tmp_path, backends) as relay:
+    with RelayProgram(tmp_path, backends) as relay:
         relay.discovery.tell(backends[1].entry("draining"))
-        until(lambda: len(relay.discovery.calls) > 1)
+        wait_until(lambda: len(relay.discovery.calls) > 1)
         client = relay.client()
         assert client.open("k", "c=feed,d=4294967,at=b") == "UP r"
         assert not backends[0].heads
@@ -74,43 +74,43 @@
 
 def test_either_end_of_an_open_tunnel_ends_the_other_in_the_same_way(tmp_path: Path) -> None:
     backend = Backend("a")
-    with Program(tmp_path, [backend]) as relay:
+    with RelayProgram(tmp_path, [backend]) as relay:
         clients = [relay.client() for _ in range(4)]
         assert all(client.open() == "UP r" for client in clients)
         start = time.monotonic()
         backend.opened[0].shutdown(1)
-        assert [clients[0].hear(), clients[1].say("RESET")] == ["", "reset"]
+        assert [clients[0].read_line(), clients[1].say("RESET")] == ["", "reset"]
         # Those two's ends come a little later on the other side.
-        until(lambda: len(backend.ends) == 2)
+        wait_until(lambda: len(backend.ends) == 2)
         backend.ends.clear()
         clients[2].close()
-        until(lambda: backend.ends == ["ended"])
+        wait_until(lambda: backend.ends == ["ended"])
         reset(clients[3].link, clients[3].file)
-        until(lambda: backend.ends == ["ended", "reset"])
+        wait_until(lambda: backend.ends == ["ended", "reset"])
         assert time.monotonic() - start < 1
 
 
 def test_a_silent_connection_is_moved(tmp_path: Path) -> None:
     backend = Backend("a")
-    with Program(tmp_path, [backend]) as relay:
+    with RelayProgram(tmp_path, [backend]) as relay:
         client = relay.client()
         assert client.open() == "UP r"
         backend.deaf = True
         start = time.monotonic()
-        assert client.say("M 1") == "MOVE" and client.hear() == ""
+        assert client.say("M 1") == "MOVE" and client.read_line() == ""
         assert time.monotonic() - start < 5
-        until(lambda: "ended" in backend.ends)
+        wait_until(lambda: "ended" in backend.ends)
 
 
 def test_a_drain_is_applied_at_once_and_its_clients_are_moved_one_by_one(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends) as relay:
+    with RelayProgram(tmp_path, backends) as relay:
         clients = [relay.client() for _ in range(12)]
         assert all(client.open(str(number)) == "UP r" for number, client in enumerate(clients))
         held = len(backends[0].opened)
         assert 0 < held < 12
         relay.discovery.tell(backends[0].entry("draining"))
-        until(lambda: len(relay.discovery.calls) > 1)
+        wait_until(lambda: len(relay.discovery.calls) > 1)
         assert all(relay.client().open(f"new {number}".replace(" ", "")) == "UP r" for number in range(6))
         assert len(backends[0].heads) == held
         moved = []
@@ -136,22 +136,22 @@
         http(b"{}}"),
         http(b'{"revision":99,"complete":true,"members":[{"id":"a"}]}'),
     )
-    with Program(tmp_path, [backend]) as relay:
+    with RelayProgram(tmp_path, [backend]) as relay:
         discovery = relay.discovery
-        until(lambda: len(discovery.calls) == 1)
+        wait_until(lambda: len(discovery.calls) == 1)
         assert "since=7&" in discovery.calls[0][1]
         discovery.tell(late.entry())
-        until(lambda: len(discovery.calls) == 2)
+        wait_until(lambda: len(discovery.calls) == 2)
         assert "since=8&" in discovery.calls[1][1]
         assert discovery.calls[1][0] - discovery.answered[0] < 0.2
         for number, answer in enumerate(broken):
             discovery.broken = answer
             discovery.tell()
-            until(lambda number=number: len(discovery.calls) >= 4 + number)
+            wait_until(lambda number=number: len(discovery.calls) >= 4 + number)
         discovery.broken = None
         backend.modes = ["hang"]
         discovery.tell(backend.entry("removed"))
-        until(lambda: f"since={discovery.revision}&" in discovery.calls[-1][1])
+        wait_until(lambda: f"since={discovery.revision}&" in discovery.calls[-1][1])
         assert relay.client().open() == "UP r" and late.heads and not backend.heads
 
 
@@ -159,15 +159,15 @@
     """Its own time-out is found first as it goes on; the box has run the setup, and the client must hear
     so."""
     backends = [Backend("s-a", "hang")]
-    with Program(tmp_path, backends) as program:
+    with RelayProgram(tmp_path, backends) as program:
         client = program.client()
         client.link.sendall(b"OPEN 77 k c=feed,d=3000,g=g1\r\n")
-        until(lambda: backends[0].heads)
+        wait_until(lambda: backends[0].heads)
         program.process.send_signal(signal.SIGSTOP)
         backends[0].last.sendall(b"UP late\r\n")
         time.sleep(1)
         program.process.send_signal(signal.SIGCONT)
-        assert client.hear() == "UP late"
+        assert client.read_line() == "UP late"
         assert len(backends[0].heads) == 1
 
 
@@ -176,10 +176,10 @@
     lie: dict[str, int], tmp_path: Path
 ) -> None:
     backends = [Backend("s-a"), Backend("s-b")]
-    with Program(tmp_path, backends) as program:
+    with RelayProgram(tmp_path, backends) as program:
         discovery = program.discovery
         vars(discovery).update(lie)
-        until(lambda: discovery.calls)
+        wait_until(lambda: discovery.calls)
         for draining, left in (backends, backends[::-1]):
             discovery.members = [draining.entry("draining"), left.entry()]
             before, asked = len(left.heads), len(discovery.calls)
@@ -199,7 +199,7 @@
 
 def test_bad_input_is_answered_closed_and_survived(tmp_path: Path) -> None:
     backends = [Backend(name) for name in "abcdef"]
-    with Program(tmp_path, backends) as relay:
+    with RelayProgram(tmp_path, backends) as relay:
         for line in (
             b"OPEN 1 k c=none,d=9\r\n",
             b"OPEN 1 k c=feed\r\n",
@@ -223,21 +223,21 @@
         ):
             client = relay.client()
             client.link.sendall(line)
-            assert client.hear() == "ERR" and client.hear() in ("", "reset"), line
+            assert client.read_line() == "ERR" and client.read_line() in ("", "reset"), line
         assert not any(backend.heads for backend in backends), "what is refused no backend sees"
         # Each line would be a warning: an hour of tries must not be the whole log.
         assert relay.log.read_text().count("WARNING client") < 10
         half = relay.client()
         half.link.sendall(b"OPEN 1 k c=fe")
         half.link.shutdown(1)
-        assert half.hear() == ""
+        assert half.read_line() == ""
         for words, passed in ((b"y" * 5000, "MOVE"), (b"LOAD much\r\n", "LOAD much"), (b"\x00\r\n", "\x00")):
             client, held = relay.client(), [len(backend.opened) for backend in backends]
             assert client.open() == "UP r"
             for backend, before in zip(backends, held, strict=True):
                 for link in backend.opened[before:]:
                     link.sendall(words)
-            assert client.hear() == passed
+            assert client.read_line() == passed
         modes = ["WHAT", "UP r"]
         for backend in backends:
             backend.modes = modes
@@ -246,31 +246,31 @@
 
 def test_sigterm_moves_what_is_open_answers_newcomers_and_ends(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b", "hang")]
-    with Program(tmp_path, backends) as relay:
+    with RelayProgram(tmp_path, backends) as relay:
         clients = [relay.client() for _ in range(10)]
         assert all(client.open(str(number)) == "UP r" for number, client in enumerate(clients))
-        relay.ask_to_stop()
+        relay.terminate()
         start = time.monotonic()
         assert relay.client().open("late") == "UP r"
-        assert clients[0].hear() == "MOVE" and time.monotonic() - start < 0.6
-        assert [client.hear() for client in clients[1:]] == ["MOVE"] * 9
-        until(lambda: relay.process.poll() is not None, 3)
+        assert clients[0].read_line() == "MOVE" and time.monotonic() - start < 0.6
+        assert [client.read_line() for client in clients[1:]] == ["MOVE"] * 9
+        wait_until(lambda: relay.process.poll() is not None, 3)
         assert relay.process.returncode == 0
 
 
 def test_sigterm_keeps_clients_whose_own_relay_is_not_back_yet(tmp_path: Path) -> None:
     """Relays are restarted in turn. Moved at once, the clients found neither this one nor the one before."""
-    with Program(tmp_path, [Backend("a"), Backend("b")]) as relay:
+    with RelayProgram(tmp_path, [Backend("a"), Backend("b")]) as relay:
         clients = [relay.client() for _ in range(8)]
         names = ("c=feed,d=1500", "c=feed,d=1500,again=1")
         assert all(
             client.open(str(number), names[number % 2]) == "UP r" for number, client in enumerate(clients)
         )
-        relay.ask_to_stop()
+        relay.terminate()
         time.sleep(0.6)
         assert [client.say("M 1") for client in clients] == ["M 1"] * 8
-        assert [client.hear() for client in clients] == ["MOVE"] * 8
-        until(lambda: relay.process.poll() is not None, 3)
+        assert [client.read_line() for client in clients] == ["MOVE"] * 8
+        wait_until(lambda: relay.process.poll() is not None, 3)
         assert relay.process.returncode == 0
 
 
@@ -279,27 +279,27 @@
     backends, gone = [Backend("a"), Backend("b")], Backend("gone")
     gone.socket.shutdown(2)
     gone.socket.close()
-    with Program(tmp_path, [*backends, gone]) as relay:
+    with RelayProgram(tmp_path, [*backends, gone]) as relay:
         clients = [relay.client() for _ in range(6)]
         assert all(client.open(str(number)) == "UP r" for number, client in enumerate(clients))
         relay.discovery.broken = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
         relay.process.kill()
-        assert relay.process.wait() and not any(client.hear() == "MOVE" for client in clients)
+        assert relay.process.wait() and not any(client.read_line() == "MOVE" for client in clients)
         relay.start()
-        until(relay.answers)
+        wait_until(relay.answers)
         again = [relay.client() for _ in range(6)]
         assert [
             client.open(str(number), "c=feed,d=1500,r=1,again=1") for number, client in enumerate(again)
         ] == ["UP r"] * 6
         relay.discovery.broken = None
         relay.discovery.tell(backends[0].entry("removed"))
-        until(lambda: any("since=8&" in target for _, target in relay.discovery.calls))
+        wait_until(lambda: any("since=8&" in target for _, target in relay.discovery.calls))
         held = len(backends[0].heads)
         assert relay.client().open("new") == "UP r" and len(backends[0].heads) == held
 
 
 def test_a_backend_that_resets_right_after_its_answer_does_not_take_the_answer_along(tmp_path: Path) -> None:
-    with Program(tmp_path, [Backend("a", "UP r then reset")]) as relay:
+    with RelayProgram(tmp_path, [Backend("a", "UP r then reset")]) as relay:
         # Flagged by its drops it gets nothing for a while, and then BUSY is the answer.
         answers = {relay.client().open(str(number)) for number in range(60)}
         assert "UP r" in answers and answers <= {"UP r", "BUSY"}
@@ -307,7 +307,7 @@
 
 def test_slots_run_out_without_harm_and_come_back(tmp_path: Path) -> None:
     backend = Backend("a")
-    with Program(tmp_path, [backend], limits={"cores": 1, "memory_mb": 192, "sockets": 200}) as relay:
+    with RelayProgram(tmp_path, [backend], limits={"cores": 1, "memory_mb": 192, "sockets": 200}) as relay:
         for _ in range(2):
             clients = [relay.client() for _ in range(90)]
             answers = [client.open(str(number)) for number, client in enumerate(clients)]
@@ -321,47 +321,47 @@
 def test_an_id_is_taken_once_until_its_tunnel_has_ended(tmp_path: Path) -> None:
     backends = [Backend(name, "hang", "UP r") for name in "ab"]
     backends[0].modes = backends[1].modes
-    with Program(tmp_path, backends) as relay:
+    with RelayProgram(tmp_path, backends) as relay:
         first, again = relay.client(), relay.client()
         line = "OPEN one k c=feed,d=1500"
         first.link.sendall(line.encode() + b"\r\n")
-        assert again.say(line) == "ERR" and first.hear() == "UP r"
+        assert again.say(line) == "ERR" and first.read_line() == "UP r"
         assert relay.client().say(line) == "ERR"
         assert first.say("M 1") == "M 1", "the first of the id is left in peace"
         first.close()
-        until(lambda: "ended" in backends[0].ends + backends[1].ends)
+        wait_until(lambda: "ended" in backends[0].ends + backends[1].ends)
         assert relay.client().say(line + ",again=1") == "UP r"
 
 
 def test_more_than_its_line_ends_a_client_that_waits(tmp_path: Path) -> None:
     """Half a line too: its rest would come out behind UP, as the backend's to deal with."""
     backend = Backend("a", "hang")
-    with Program(tmp_path, [backend]) as relay:
+    with RelayProgram(tmp_path, [backend]) as relay:
         client = relay.client()
         client.link.sendall(b"OPEN 1 k c=bill,d=1500\r\n")
-        until(lambda: backend.heads)
+        wait_until(lambda: backend.heads)
         assert client.say("M")[:3] == "ERR"
-        until(lambda: backend.ends)
+        wait_until(lambda: backend.ends)
         stranger, start = relay.client(), time.monotonic()
         assert stranger.open("k", "c=feed,d=4294967,at=nowhere") == "ERR" and time.monotonic() - start < 2.9
 
 
 def test_who_says_nothing_is_ended_within_a_bound_that_nothing_puts_off(tmp_path: Path) -> None:
-    with Program(tmp_path, [Backend("a")]) as relay:
+    with RelayProgram(tmp_path, [Backend("a")]) as relay:
         silent, half, pings = (relay.client() for _ in range(3))
         start = time.monotonic()
         half.link.sendall(b"OPEN 1 k c=")
         for _ in range(4):
             assert pings.say("PING") == "PONG"
             time.sleep(0.5)
-        assert [client.hear() for client in (silent, half, pings)] == [""] * 3
+        assert [client.read_line() for client in (silent, half, pings)] == [""] * 3
         assert 2 < time.monotonic() - start < 2.9
 
 
 def test_strangers_who_say_nothing_keep_nobody_out(tmp_path: Path) -> None:
     limits = {"cores": 1, "memory_mb": 64, "sockets": 256}
     backend = Backend("a")
-    with Program(tmp_path, [backend], limits=limits) as relay:
+    with RelayProgram(tmp_path, [backend], limits=limits) as relay:
         strangers = []
         for number in range(85):
             strangers += [relay.client() for _ in range(6)]
@@ -375,7 +375,7 @@
 
 
 def test_a_line_without_an_end_is_not_read_on(tmp_path: Path) -> None:
-    with Program(tmp_path, [Backend("a")]) as relay:
+    with RelayProgram(tmp_path, [Backend("a")]) as relay:
         client = relay.client()
         start, sent = time.monotonic(), 0
         with suppress(ConnectionError):
@@ -387,7 +387,7 @@
 
 def test_a_slow_reader_is_not_read_ahead_for(tmp_path: Path) -> None:
     backend = Backend("a")
-    with Program(tmp_path, [backend]) as relay:
+    with RelayProgram(tmp_path, [backend]) as relay:
         client = relay.client()
         assert client.open() == "UP r"
         backend.opened[0].settimeout(1)
@@ -409,13 +409,13 @@
     others = [Discovery([backends[0].entry(), late.entry()]) for _ in range(2)]
     for other in others:
         other.revision = 3
-    with Program(tmp_path, backends) as relay:
+    with RelayProgram(tmp_path, backends) as relay:
         client = relay.client()
         assert client.open() == "UP r"
-        until(lambda: len(relay.discovery.calls) == 1)
+        wait_until(lambda: len(relay.discovery.calls) == 1)
         for other in others:
             relay.reload(discovery=other.address)
-            until(lambda other=other: len(other.calls) == 2, 1)
+            wait_until(lambda other=other: len(other.calls) == 2, 1)
             first, then = (target.rpartition("/")[2] for _, target in other.calls)
             since, _, wait = then.rpartition("=")
             assert (first, since) == ("hosts", "hosts?since=3&timeout_ms") and 1000 <= int(wait) <= 2000
@@ -424,25 +424,25 @@
         with relay.discovery.changed:
             relay.discovery.broken = b" "  # so that its call ends, and what it says comes to nobody
             relay.discovery.tell()
-        until(lambda: relay.discovery.ended == 1)
-        relay.ask_to_stop()
+        wait_until(lambda: relay.discovery.ended == 1)
+        relay.terminate()
         relay.reload(discovery=others[0].address)
-        until(lambda: "stops within" in relay.log.read_text() and len(others[0].calls) > 2)
+        wait_until(lambda: "stops within" in relay.log.read_text() and len(others[0].calls) > 2)
         others[0].tell(backends[0].entry("removed"))
-        until(lambda: "since=4&" in others[0].calls[-1][1])
+        wait_until(lambda: "since=4&" in others[0].calls[-1][1])
         assert relay.client().open("k2") == "UP r" and late.heads
-        assert client.hear() == "MOVE"
-        until(lambda: relay.process.poll() is not None, 3)
+        assert client.read_line() == "MOVE"
+        wait_until(lambda: relay.process.poll() is not None, 3)
         assert relay.process.returncode == 0 and "discovery: " not in relay.log.read_text()
 
 
 def test_a_bad_new_configuration_is_one_logged_line_and_all_stays(tmp_path: Path) -> None:
-    with Program(tmp_path, [Backend("a")]) as relay:
+    with RelayProgram(tmp_path, [Backend("a")]) as relay:
         start = len(relay.log.read_text().splitlines())
         moved = json.dumps(relay.told | {"settings": relay.told["settings"] | {"zone": "nowhere"}})
         for number, text in enumerate(("{", "[]", '{"name":"n"}', "[" * 9999, moved), start):
             relay.reload(text)
-            until(lambda number=number: len(relay.log.read_text().splitlines()) > number)
+            wait_until(lambda number=number: len(relay.log.read_text().splitlines()) > number)
             assert "can't be used" in relay.log.read_text().splitlines()[number]
         assert relay.client().open() == "UP r"
         assert len(relay.log.read_text().splitlines()) == start + 5
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import hypothesis.strategies as st
-from helpers import MS, SECOND, Ledger, facts, fleet, listed
+from helpers import MS, SECOND, RuleCheckingHost, host_with_backends, list_entry, make_settings
 from hypothesis import HealthCheck, given, settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
@@ -38,8 +38,8 @@
         window: int,
     ) -> None:
         self.cells = cells
-        self.ledger = Ledger(
-            facts(
+        self.host = RuleCheckingHost(
+            make_settings(
                 window=window,
                 seed=seed,
                 must_ask=ask,
@@ -53,12 +53,12 @@
                 over_share_credit=0.1,
             )
         )
-        self.ledger.tell(
-            ListForm.RESTORED, *(listed(ep, weight=1.0 + ep % 3, cells=cells) for ep in range(4))
+        self.host.tell(
+            ListForm.RESTORED, *(list_entry(ep, weight=1.0 + ep % 3, cells=cells) for ep in range(4))
         )
 
     def out(self) -> list[int]:
-        return [tun for tun, case in self.ledger.cases.items() if case.setups and case.setups[-1][2] is None]
+        return [tun for tun, case in self.host.requests.items() if case.setups and case.setups[-1][2] is None]
 
     @rule(
         profile=st.integers(0, 4),
@@ -77,65 +77,65 @@
         group: str | None,
         tenant: int | None,
     ) -> None:
-        self.ledger.arrive(profile, key, budget * MS, hint, group, tenant)
+        self.host.arrive(profile, key, budget * MS, hint, group, tenant)
 
     @precondition(lambda self: self.out())
     @rule(data=st.data(), outcome=FAILURES)
     def fail(self, data: st.DataObject, outcome: Outcome) -> None:
         tun = data.draw(st.sampled_from(self.out()))
-        self.ledger.end(tun, outcome)
+        self.host.end(tun, outcome)
 
     @precondition(lambda self: self.out())
     @rule(data=st.data())
     def open_or_finish(self, data: st.DataObject) -> None:
         tun = data.draw(st.sampled_from(self.out()))
-        if self.ledger.cases[tun].setups[-1][3]:
-            self.ledger.end(tun, Outcome.DONE)
-        elif not self.ledger.cases[tun].answered:
-            self.ledger.open(tun)
+        if self.host.requests[tun].setups[-1][3]:
+            self.host.end(tun, Outcome.DONE)
+        elif not self.host.requests[tun].answered:
+            self.host.open(tun)
 
     @precondition(lambda self: self.out())
     @rule(data=st.data(), load=st.floats(0, 1e6), delay=st.integers(0, 500))
     def note(self, data: st.DataObject, load: float, delay: int) -> None:
         tun = data.draw(st.sampled_from(self.out()))
-        self.ledger.balancer.load_told(self.ledger.now, tun, load)
-        ep = self.ledger.cases[tun].setups[-1][0]
-        self.ledger.balancer.delay_told(self.ledger.now, ep, delay * MS)
+        self.host.balancer.load_told(self.host.now, tun, load)
+        ep = self.host.requests[tun].setups[-1][0]
+        self.host.balancer.delay_told(self.host.now, ep, delay * MS)
 
     @precondition(lambda self: self.out())
     @rule(data=st.data())
     def client_leaves(self, data: st.DataObject) -> None:
         tun = data.draw(st.sampled_from(self.out()))
-        if not self.ledger.cases[tun].answered:
-            self.ledger.cases[tun].answered = True
-            self.ledger.balancer.client_gone(self.ledger.now, tun)
+        if not self.host.requests[tun].answered:
+            self.host.requests[tun].answered = True
+            self.host.balancer.client_gone(self.host.now, tun)
 
     @rule(ep=EPS, asked=st.floats(0, 3))
     def report(self, ep: int, asked: float) -> None:
-        if ep in self.ledger.listing:
-            self.ledger.report(ep, asked)
+        if ep in self.host.listing:
+            self.host.report(ep, asked)
 
     @rule(ep=EPS, standing=st.sampled_from(BackendState), restarted=st.booleans())
     def change(self, ep: int, standing: BackendState, restarted: bool) -> None:
-        started = self.ledger.now if restarted else 0
-        self.ledger.tell(ListForm.CHANGES, listed(ep, standing, started, self.cells))
+        started = self.host.now if restarted else 0
+        self.host.tell(ListForm.CHANGES, list_entry(ep, standing, started, self.cells))
 
     @rule(eps=st.sets(EPS), form=st.sampled_from([ListForm.WHOLE, ListForm.UNAVAILABLE]))
     def relist(self, eps: set[int], form: ListForm) -> None:
-        self.ledger.tell(form, *(listed(ep, cells=self.cells) for ep in sorted(eps)))
+        self.host.tell(form, *(list_entry(ep, cells=self.cells) for ep in sorted(eps)))
 
     @rule(span=st.integers(1, 4000))
     def time_passes(self, span: int) -> None:
-        self.ledger.run(span * MS)
+        self.host.run(span * MS)
         for tun in self.out():
-            case = self.ledger.cases[tun]
-            if not case.answered and case.give_up <= self.ledger.now:
-                self.ledger.end(tun, Outcome.TIMEOUT)
+            case = self.host.requests[tun]
+            if not case.answered and case.give_up <= self.host.now:
+                self.host.end(tun, Outcome.TIMEOUT)
 
     @invariant()
     def rules_are_kept(self) -> None:
         if hasattr(self, "ledger"):
-            self.ledger.check()
+            self.host.check()
 
 
 Days.TestCase.settings = settings(
@@ -159,28 +159,30 @@
 def test_all_relays_together_stay_under_a_cold_backends_multiple(
     load: float, relays: int, rush: int, age: int, seed: int
 ) -> None:
-    ledgers = [fleet(4, load, relays=relays, me=me, seed=seed * relays + me) for me in range(relays)]
+    hosts = [
+        host_with_backends(4, load, relays=relays, me=me, seed=seed * relays + me) for me in range(relays)
+    ]
     held = 160  # by all relays, so a member that is full holds 40 / load
     for tun in range(held):
-        ledgers[tun % relays].adopt(tun // relays % 4)
-    site = ledgers[0].site
+        hosts[tun % relays].adopt(tun // relays % 4)
+    site = hosts[0].settings
     started = site.now - age * SECOND
-    for ledger in ledgers:
-        ledger.run(SECOND)
+    for host in hosts:
+        host.run(SECOND)
         for ep in range(4):
-            ledger.report(ep, load)
-        ledger.run(SECOND)
-        ledger.tell(ListForm.CHANGES, listed(9, started=started))
+            host.report(ep, load)
+        host.run(SECOND)
+        host.tell(ListForm.CHANGES, list_entry(9, started=started))
     for number in range(rush * 12):
-        ledger = ledgers[number * 7 % relays]
-        ledger.run(site.now + 2 * SECOND + number * SECOND // rush - ledger.now)
-        tun = ledger.arrive(key=f"rush {number}")
-        if not ledger.cases[tun].answered:
-            ledger.open(tun)
-            if ledger.cases[tun].setups[-1][0] != 9:
-                ledger.end(tun, Outcome.DONE)
+        host = hosts[number * 7 % relays]
+        host.run(site.now + 2 * SECOND + number * SECOND // rush - host.now)
+        tun = host.arrive(key=f"rush {number}")
+        if not host.requests[tun].answered:
+            host.open(tun)
+            if host.requests[tun].setups[-1][0] != 9:
+                host.end(tun, Outcome.DONE)
     sends = sorted(
-        at for ledger in ledgers for at, _, ep in ledger.sends if ep == 9 and at < started + site.warm_within
+        at for host in hosts for at, _, ep in host.sends if ep == 9 and at < started + site.warm_within
     )
     assert sends, "the budget is there to be used"
     for at in sends:
@@ -200,17 +202,17 @@
 def test_lists_of_any_size_and_changes_in_bulk_keep_the_rules(
     size: int, relays: int, me: int, cells: int, gone: int
 ) -> None:
-    ledger = fleet(size, None, cells=cells, relays=relays, me=me)
+    host = host_with_backends(size, None, cells=cells, relays=relays, me=me)
     for turn in range(4):
         for number in range(10):
-            tun = ledger.arrive(key=f"{turn} {number}")
-            assert ledger.cases[tun].setups or not size or gone == turn
-        ledger.run(3 * SECOND)
-        ledger.check()
+            tun = host.arrive(key=f"{turn} {number}")
+            assert host.requests[tun].setups or not size or gone == turn
+        host.run(3 * SECOND)
+        host.check()
         changes = (
             (BackendState.GONE, BackendState.READY)
             if turn == gone
             else (BackendState.DRAINING, BackendState.READY)
         )
         for standing in changes:
-            ledger.tell(ListForm.CHANGES, *(listed(ep, standing, cells=cells) for ep in range(size)))
+            host.tell(ListForm.CHANGES, *(list_entry(ep, standing, cells=cells) for ep in range(size)))
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import msgspec
-from helpers import MS, SECOND, Backend, Program, fleet, until
+from helpers import MS, SECOND, Backend, RelayProgram, host_with_backends, wait_until
 from loguru import logger
 from pytest import fixture, mark, raises
 from twisted.internet.task import Clock
@@ -177,22 +177,22 @@
 
 
 def test_what_is_set_aside_gets_nothing_new_unless_it_would_be_all() -> None:
-    ledger = fleet(4, cells=1)
-    ledger.balancer.knows(ledger.now, ExternalView(aside=frozenset({0, 1, 2})))
+    host = host_with_backends(4, cells=1)
+    host.balancer.knows(host.now, ExternalView(aside=frozenset({0, 1, 2})))
     for number in range(6):
-        ledger.arrive(key=f"k{number}")
-    assert {ep for _, _, ep in ledger.sends} == {3}
-    ledger.balancer.knows(ledger.now, ExternalView(aside=frozenset(range(4))))
+        host.arrive(key=f"k{number}")
+    assert {ep for _, _, ep in host.sends} == {3}
+    host.balancer.knows(host.now, ExternalView(aside=frozenset(range(4))))
     for number in range(30):
-        ledger.arrive(key=f"n{number}")
-    assert len({ep for _, _, ep in ledger.sends}) > 1
+        host.arrive(key=f"n{number}")
+    assert len({ep for _, _, ep in host.sends}) > 1
 
 
 def test_the_operators_file_is_followed_and_read_again_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
     backends = [Backend("s-a"), Backend("s-b")]
     path = tmp_path / "operator.toml"
     path.write_text('[log]\nform = "json"\nevents = ["opened", "answered"]\n[boxes]\naside = ["s-a"]\n')
-    with Program(tmp_path, backends, arguments=["relay", "--file", str(path)]) as program:
+    with RelayProgram(tmp_path, backends, arguments=["relay", "--file", str(path)]) as program:
         clients = [program.client() for _ in range(4)]
         assert [client.open(f"k{number}") for number, client in enumerate(clients)] == ["UP r"] * 4
         assert (len(backends[0].heads), len(backends[1].heads)) == (0, 4)
@@ -200,14 +200,14 @@
         def told() -> list[dict]:
             return [json.loads(line) for line in program.log.read_text().splitlines() if line.startswith("{")]
 
-        until(lambda: sum(entry.get("event") == "tunnel.opened" for entry in told()) == 4)
+        wait_until(lambda: sum(entry.get("event") == "tunnel.opened" for entry in told()) == 4)
         path.write_text("[boxes]\naside = 5\n")
         program.process.send_signal(signal.SIGHUP)
-        until(lambda: "boxes.aside" in program.log.read_text())
+        wait_until(lambda: "boxes.aside" in program.log.read_text())
         assert program.client().open("k9") == "UP r"
         assert not backends[0].heads, "the old file holds"
         path.write_text('[boxes]\naside = ["s-b"]\n')
         program.process.send_signal(signal.SIGHUP)
-        until(lambda: "configuration read again" in program.log.read_text())
+        wait_until(lambda: "configuration read again" in program.log.read_text())
         assert program.client().open("k9") == "UP r"
         assert len(backends[0].heads) == 1
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from pathlib import Path
 
-from helpers import Backend, Program
+from helpers import Backend, RelayProgram
 from pytest import mark, raises
 
 from cedarledge.faults.system_calls import KINDS, SystemCallFaults
@@ -24,7 +24,7 @@
 ) -> None:
     faults = SystemCallFaults(tmp_path, 11, rate, kinds)
 
-    class FaultyProgram(Program):
+    class FaultyProgram(RelayProgram):
         environment = faults.environment()
 
     words: Counter[str] = Counter()
@@ -36,7 +36,7 @@
             assert time.monotonic() - began < 1.55, "an answer before the client gives up"
             words[client.say("M 1")] += 1
             client.close()
-        relay.ask_to_stop()
+        relay.terminate()
         assert relay.process.wait(8) == 0
         log = relay.log.read_text()
     assert words == {"UP r": CLIENTS, "M 1": CLIENTS}
--- a/tests/test_terms_backends.py
+++ b/tests/test_terms_backends.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from helpers import Backend, Program, until
+from helpers import Backend, RelayProgram, wait_until
 from pytest import mark
 from test_crossings import EFFECTS
 
@@ -41,15 +41,15 @@
         settings = EFFECTS | {"allowed": EFFECTS["allowed"] | {"probes": False}}
         known = {"revision": 7, "complete": True, "members": [told, other.entry("draining")]}
         try:
-            with Program(tmp_path, [other], settings=settings, known=known) as relay:
+            with RelayProgram(tmp_path, [other], settings=settings, known=known) as relay:
                 client = relay.client()
                 client.link.sendall(f"OPEN 1 k c={name},d=3000\r\n".encode())
                 assert killed.stdout.readline() == b"accepted\n"
-                until(lambda: relay.discovery.calls)
+                wait_until(lambda: relay.discovery.calls)
                 relay.discovery.tell(other.entry())
-                until(lambda: len(relay.discovery.calls) > 1)
+                wait_until(lambda: len(relay.discovery.calls) > 1)
                 killed.send_signal(signal.SIGKILL)
-                assert client.hear() == ("UP r" if goes_on else "ERR")
+                assert client.read_line() == ("UP r" if goes_on else "ERR")
                 assert len(other.heads) == goes_on
         finally:
             with suppress(ProcessLookupError):
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -11,7 +11,7 @@
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
-from helpers import Backend, Client, Program, reset
+from helpers import Backend, Client, RelayProgram, reset
 from pytest import mark
 from test_crossings import UNHURRIED, Stopping
 
@@ -129,7 +129,7 @@
 LEAVE: list[Callable[[Client], None]] = [leave_by_fin, leave_by_reset, cancel, leave_behind_bytes]
 
 
-def ask(relay: Program, number: int) -> Client:
+def ask(relay: RelayProgram, number: int) -> Client:
     client = relay.client()
     client.id = f"{number:016x}"
     client.link.sendall(f"OPEN {client.id} key-{number} c=feed,d=3000\r\n".encode())
@@ -149,7 +149,7 @@
     draw = random.Random(4)
     backends = [PolledBackend(name, draw) for name in "abc"]
     before_leaving: Counter[str] = Counter()
-    with Program(tmp_path, backends, settings=UNHURRIED) as relay, busy_machine():
+    with RelayProgram(tmp_path, backends, settings=UNHURRIED) as relay, busy_machine():
         for wave in range(WAVES):
             first, arrived = wave * CLIENTS_PER_WAVE, draw.randint(CLIENTS_PER_WAVE // 2, CLIENTS_PER_WAVE)
             clients = [ask(relay, first + place) for place in range(arrived)]
@@ -163,7 +163,7 @@
             poll(backends, GONE_AFTER, answers_probes=False)
             attempts = attempts_by_client(backends)
             before_leaving.update({client.id: attempts[client.id] for client in clients})
-            relay.go_on()
+            relay.resume()
             poll(backends, 0.05)
         poll(backends, 1.5)  # past the time-out of attempts that hang
     late = attempts_by_client(backends) - before_leaving
@@ -182,6 +182,6 @@
         relay.until_paused()
         leave_by_fin(client)
         time.sleep(GONE_AFTER)
-        relay.go_on()
+        relay.resume()
         assert relay.client().open() == "UP r"
         assert len(backend.heads) == 1, "the second client's"
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import IO, NamedTuple
 
-from helpers import Backend, Discovery, Program, free_port, until
+from helpers import Backend, Discovery, RelayProgram, free_port, wait_until
 from test_crossings import PATIENT, PUSHED
 
 COUNTS_AFTER, DRAIN_GRACE = 6.0, 1.0
@@ -159,11 +159,11 @@
 ]
 
 
-def failures_logged(relay: Program) -> int:
+def failures_logged(relay: RelayProgram) -> int:
     return relay.log.read_text().count("WARNING discovery")
 
 
-def place_newcomers(relay: Program) -> list[str]:
+def place_newcomers(relay: RelayProgram) -> list[str]:
     """Their answers. They stay, so that all backends that may be chosen are. On a busy machine some are
     rejected: a backend whose probe is late is passed over."""
     with ExitStack() as staying:
@@ -171,16 +171,16 @@
         return [client.open(f"{time.monotonic_ns()}", "c=feed,d=6000") for client in clients]
 
 
-def run_case(case: Case, relay: Program, discovery: FaultyDiscovery) -> None:
+def run_case(case: Case, relay: RelayProgram, discovery: FaultyDiscovery) -> None:
     """Drains a backend as discovery can be reached again, right after a call has failed."""
-    until(lambda: discovery.calls)
+    wait_until(lambda: discovery.calls)
     case.begin(discovery)
-    until(lambda: failures_logged(relay) >= case.logged and discovery.faulted >= case.taken, 40)
+    wait_until(lambda: failures_logged(relay) >= case.logged and discovery.faulted >= case.taken, 40)
     if case.moves:
         other = FaultyDiscovery(discovery.members)
         other.refuse()
         relay.reload(discovery=other.address)
-        until(lambda: failures_logged(relay) > case.logged, 40)
+        wait_until(lambda: failures_logged(relay) > case.logged, 40)
         discovery = other
     drained = relay.backends[0]
     discovery.members = [drained.entry("draining"), relay.backends[1].entry()]
@@ -209,7 +209,7 @@
             discovery = FaultyDiscovery([backend.entry() for backend in backends])
             safety = case.settings["safety"] | {"ask_every": ASK_EVERY_US}
             relay = relays.enter_context(
-                Program(
+                RelayProgram(
                     folder, backends, settings=case.settings | {"safety": safety}, discovery=discovery.address
                 )
             )
--- a/tests/test_terms_fleet_size.py
+++ b/tests/test_terms_fleet_size.py
@@ -5,7 +5,7 @@
 from ipaddress import IPv4Address
 from pathlib import Path
 
-from helpers import SETTINGS, Backend, Program, until
+from helpers import SETTINGS, Backend, RelayProgram, wait_until
 from test_terms_limits import descriptors
 from test_terms_start import processor_seconds
 
@@ -27,7 +27,7 @@
 CLIENTS = 100
 
 
-def peak_memory_mb(relay: Program) -> float:
+def peak_memory_mb(relay: RelayProgram) -> float:
     status = Path(f"/proc/{relay.process.pid}/status").read_text()
     return int(status.partition("VmHWM:")[2].split()[0]) / 1024
 
@@ -51,14 +51,14 @@
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
         "known": {"revision": 7, "complete": True, "members": entries},
     }
-    with Program(tmp_path, backends, **told) as relay:
+    with RelayProgram(tmp_path, backends, **told) as relay:
         assert f"{BACKENDS} backends known" in relay.log.read_text()
         assert processor_seconds(relay) < START_PROCESSOR_S
         clients = [relay.client() for _ in range(CLIENTS)]
         assert {client.open(f"key-{number}") for number, client in enumerate(clients)} == {"UP r"}
-        until(lambda: relay.discovery.calls)
+        wait_until(lambda: relay.discovery.calls)
         relay.discovery.tell(*(entry | {"phase": "draining"} for entry in entries[:-1]))
-        until(lambda: len(relay.discovery.calls) >= 2)
+        wait_until(lambda: len(relay.discovery.calls) >= 2)
         placed = sum(len(backend.heads) for backend in backends[:-1])
         for number in range(4):
             assert relay.client().open(f"late-{number}") in ("UP r", "BUSY"), "one cold backend is left"
--- a/tests/test_terms_limits.py
+++ b/tests/test_terms_limits.py
@@ -11,7 +11,7 @@
 from types import SimpleNamespace
 from typing import IO
 
-from helpers import MS, SECOND, Backend, Client, Program, until
+from helpers import MS, SECOND, Backend, Client, RelayProgram, wait_until
 from test_control import call, free_address
 from test_crossings import PATIENT
 from test_net import Box
@@ -58,7 +58,7 @@
 
 
 @contextmanager
-def idle_clients(relay: Program, count: int) -> Iterator[None]:
+def idle_clients(relay: RelayProgram, count: int) -> Iterator[None]:
     """So many connections that say nothing or no more than PING; who is turned out comes again."""
     done = threading.Event()
     links: list[socket.socket] = []
@@ -96,14 +96,14 @@
         return True
 
 
-def open_at_once(relay: Program) -> Client:
+def open_at_once(relay: RelayProgram) -> Client:
     """One that connected and asked for nothing for a while would be one of the idle."""
     client = relay.client()
     assert client.open(f"{time.monotonic_ns()}", "c=feed,d=15000") == "UP r", "an attempt has its descriptor"
     return client
 
 
-def descriptors(relay: Program) -> int:
+def descriptors(relay: RelayProgram) -> int:
     return len(list(Path(f"/proc/{relay.process.pid}/fd").iterdir()))
 
 
@@ -118,19 +118,19 @@
     unhurried = {"setup_goal": 12_000_000, "client_timeout": 20_000_000}
     settings["profiles"] = [row | unhurried for row in PATIENT["profiles"]]
     limits = {"cores": 1.0, "memory_mb": 96, "sockets": SOCKETS}
-    with Program(
+    with RelayProgram(
         tmp_path, backends, settings=settings, discovery=discovery.address, limits=limits, control=control
     ) as relay:
-        until(lambda: discovery.calls)
+        wait_until(lambda: discovery.calls)
         discovery.break_by(close_unread)
         with idle_clients(relay, 2 * SOCKETS):
-            until(lambda: descriptors(relay) > HELD_BY_IDLE)
+            wait_until(lambda: descriptors(relay) > HELD_BY_IDLE)
             for _ in range(4):
                 failed, probed = discovery.faulted, sum(backend.probed for backend in backends)
                 open_at_once(relay)
                 assert call(control, "GET", "/control/ready") == 200, "the operators' call has its own"
-                until(lambda probed=probed: sum(backend.probed for backend in backends) > probed)
-                until(lambda failed=failed: discovery.faulted > failed)
+                wait_until(lambda probed=probed: sum(backend.probed for backend in backends) > probed)
+                wait_until(lambda failed=failed: discovery.faulted > failed)
             drained = backends[0]
             discovery.members = [drained.entry("draining"), backends[1].entry()]
             discovery.tell(drained.entry("draining"))
--- a/tests/test_terms_start.py
+++ b/tests/test_terms_start.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import IO, NamedTuple
 
-from helpers import SECOND, SETTINGS, Backend, Discovery, Program, facts, http, until
+from helpers import SECOND, SETTINGS, Backend, Discovery, RelayProgram, http, make_settings, wait_until
 from pytest import mark
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
@@ -49,7 +49,7 @@
     def __init__(self, reactor: MemoryReactorClock, number: int) -> None:
         self.reactor = reactor
         self.timers = Timers(reactor, self.now)
-        site = facts(now=self.now(), seed=number, me=number, relays=RELAYS, ask_every=10 * SECOND)
+        site = make_settings(now=self.now(), seed=number, me=number, relays=RELAYS, ask_every=10 * SECOND)
         # Made before the policy, which may ask for the list in its first step.
         self.watch_loop = Watch(
             reactor,
@@ -198,7 +198,7 @@
             return
 
 
-def processor_seconds(relay: Program) -> float:
+def processor_seconds(relay: RelayProgram) -> float:
     fields = Path(f"/proc/{relay.process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -217,14 +217,14 @@
             folder = tmp_path / str(number)
             folder.mkdir()
             relays.append(
-                Program(
+                RelayProgram(
                     folder, [backend], settings=settings, seed=f"{number:016x}", discovery=discovery.address
                 )
             )
             running.push(relays[-1])
         for relay in relays:
-            until(relay.answers, 60)
+            wait_until(relay.answers, 60)
         assert not discovery.first_served
         assert max(map(processor_seconds, relays)) < READY_WITHIN_S / 4
         discovery.opened.set()
-        until(lambda: len(discovery.first_served) >= READY_SHARE * RELAYS_ON_SOCKETS, 2 * ALL_CALLS_S)
+        wait_until(lambda: len(discovery.first_served) >= READY_SHARE * RELAYS_ON_SOCKETS, 2 * ALL_CALLS_S)
--- a/tests/test_tunnels.py
+++ b/tests/test_tunnels.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from helpers import MS, SECOND, facts, listed
+from helpers import MS, SECOND, list_entry, make_settings
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
@@ -130,7 +130,7 @@
             {},
             [SECOND] * 3,
             150 * MS,
-            facts().profiles,
+            make_settings().profiles,
         )
         self.tunnels.connect(
             self, Echoes(self.now, timers, Delays(self.now, 0, lambda *_: None), self.tunnels.silent)
@@ -140,8 +140,8 @@
         self.out: dict[int, SetupStub] = {}
         self.clients: list[Client] = []
         self.full = False
-        self.policy_host.start(facts(now=self.now()), Broken if broken else Balancer)
-        entries = [listed(backend_id, cells=2) for backend_id in range(BOXES)]
+        self.policy_host.start(make_settings(now=self.now()), Broken if broken else Balancer)
+        entries = [list_entry(backend_id, cells=2) for backend_id in range(BOXES)]
         for entry in entries:
             self.boxes.addresses[self.boxes.backend_ids[f"s-{entry.ep}"]] = ("127.0.0.1", 1)
         self.listing = {entry.ep: entry for entry in entries}
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from helpers import MS, SECOND, SETTINGS, Backend, Client, Program, until
+from helpers import MS, SECOND, SETTINGS, Backend, Client, RelayProgram, wait_until
 from pytest import fixture, mark
 from test_handover import Pair, connect_to, pair
 
@@ -35,7 +35,7 @@
 series = mark.parametrize("steps", SERIES.values(), ids=[name.replace(" ", "-") for name in SERIES])
 
 
-class SteppedProgram(Program):
+class SteppedProgram(RelayProgram):
     """A relay that runs by a wall clock of its own."""
 
     def __init__(self, tmp: Path, backends: list[Backend], clock: WallClock, **other: object) -> None:
@@ -98,7 +98,7 @@
         began = time.monotonic()
         client.link.sendall(b"OPEN 1 k c=feed,d=1500,g=g1\r\n")
         relay.step(steps)
-        assert client.hear() in ("ERR", "BUSY")
+        assert client.read_line() in ("ERR", "BUSY")
         assert time.monotonic() - began < 1.55
 
 
@@ -110,10 +110,10 @@
         client = relay.client()
         assert client.open() == "UP r"
         began = time.monotonic()
-        relay.ask_to_stop()
+        relay.terminate()
         time.sleep(STOPPED_FOR)
         relay.step(steps)
-        assert client.hear() == "MOVE"
+        assert client.read_line() == "MOVE"
         assert relay.process.wait(8) == 0
         assert time.monotonic() - began < 1.5 + 0.7
 
@@ -125,18 +125,18 @@
         began = time.monotonic()
         client.link.sendall(b"OPEN 1")
         relay.step(steps)
-        assert client.hear() == ""
+        assert client.read_line() == ""
         assert time.monotonic() - began < 3
 
 
 @series
 def test_a_silent_watch_is_opened_anew(tmp_path: Path, clock: WallClock, steps: tuple[int, ...]) -> None:
     with SteppedProgram(tmp_path, [Backend("a")], clock) as relay:
-        until(lambda: len(relay.discovery.calls) > 1)
+        wait_until(lambda: len(relay.discovery.calls) > 1)
         relay.discovery.fall_silent()
         calls, began = len(relay.discovery.calls), time.monotonic()
         relay.step(steps)
-        until(lambda: len(relay.discovery.calls) > calls, 12)
+        wait_until(lambda: len(relay.discovery.calls) > calls, 12)
         assert time.monotonic() - began < 6
 
 
@@ -154,7 +154,7 @@
         began = time.monotonic()
         relay.discovery.tell(draining.entry("draining"))
         relay.step(steps)
-        until(lambda: len(draining.ends) >= len(draining.opened), 12)
+        wait_until(lambda: len(draining.ends) >= len(draining.opened), 12)
         assert time.monotonic() - began < 4 + SLACK
 
 
@@ -164,16 +164,16 @@
     with SteppedProgram(tmp_path, [Backend("a")], clock) as relay, SteppedDiscovery(relay) as moved:
         began = time.monotonic()
         relay.reload(discovery=moved.address)
-        until(lambda: bool(moved.calls))
+        wait_until(lambda: bool(moved.calls))
         relay.step(steps)
-        until(lambda: len(moved.calls) > 1, 12)
+        wait_until(lambda: len(moved.calls) > 1, 12)
         assert time.monotonic() - began < 6
 
 
 class SteppedDiscovery:
     """A discovery that falls silent under its first call."""
 
-    def __init__(self, relay: Program) -> None:
+    def __init__(self, relay: RelayProgram) -> None:
         self._discovery = type(relay.discovery)(relay.discovery.members)
         self.address = self._discovery.address
         self.calls = self._discovery.calls
@@ -194,7 +194,7 @@
         for number in range(10):
             relay.process.send_signal(signal.SIGTERM if number % 2 else signal.SIGHUP)
             relay.step((-7 * SECOND,))
-        assert client.hear() == "MOVE"
+        assert client.read_line() == "MOVE"
         assert relay.process.wait(8) == 0
         assert time.monotonic() - began < 0.1 + 1.5 + 0.7
 
@@ -242,7 +242,7 @@
             clock.step(-by)
             clock.step(by)
             assert before.wait(8) == 0
-        assert held.hear() == "MOVE"
+        assert held.read_line() == "MOVE"
         assert relay.log.read_text().count("goes on alone") == 1, (
             "the first process, which has none before it"
         )
