--- a/cedarledge/net/audit.py
+++ b/cedarledge/net/audit.py
@@ -79,7 +79,7 @@
 
     def _broken(self, invariant: Invariant, handle: int, tunnel: Tunnel) -> None:
         self._reported.add(handle)
-        self._invariants.broken(invariant, self._tunnels.guard.story(tunnel.request))
+        self._invariants.record_violation(invariant, self._tunnels.guard.describe(tunnel.request))
 
     def _look_at_wall_clock(self) -> None:
         lead, before = self._wall_clock(), self._lead
@@ -89,7 +89,7 @@
             logger.warning("the wall clock was stepped by {} ms", (lead - before) // MS)
 
     def _timers_stuck(self, late: int) -> None:
-        self._invariants.broken(Invariant.STUCK_TIMERS, f"the first was due {late // MS} ms ago")
+        self._invariants.record_violation(Invariant.STUCK_TIMERS, f"the first was due {late // MS} ms ago")
 
     def tell(self) -> None:
         """One line of counts, where they have changed."""
--- a/cedarledge/net/clients.py
+++ b/cedarledge/net/clients.py
@@ -119,13 +119,13 @@
             self.bad_input("more before the answer")
         else:
             super().dataReceived(data)
-            if self.tunnel_id < 0 and self.lines.waiting and not self.ending:
+            if self.tunnel_id < 0 and self.lines.has_partial_line and not self.ending:
                 self.listener.lives(self)
 
     def lines_came(self, lines: list[bytes]) -> None:
         if self.is_open:
             self.handler.lines_from_client(self.tunnel_id, lines)
-        elif len(lines) > 1 or self.lines.waiting:
+        elif len(lines) > 1 or self.lines.has_partial_line:
             # Looked at before the line is dealt with: a backend may not see one of which the client itself
             # makes nonsense.
             self.bad_input("more before the answer")
@@ -167,7 +167,7 @@
         super()._gone()
         self.listener.gone(self)
         if self.answer_pending:
-            self.context.invariants.broken(Invariant.CLOSED_UNANSWERED, f"tunnel {self.tunnel_id}")
+            self.context.invariants.record_violation(Invariant.CLOSED_UNANSWERED, f"tunnel {self.tunnel_id}")
 
     # -- the answers, each the last but opened ---------------------------------------------------
 
--- a/cedarledge/net/interfaces.py
+++ b/cedarledge/net/interfaces.py
@@ -1,14 +1,12 @@
-"""Where a running relay is added to without touching its middle: fronts, hearers, facts.
-
-- A *front* makes tunnels of whatever protocol and takes their answers. It calls a Taker, and its connections
-  understand what ClientEnd lists. `clients.Listener` is the one in use.
-- A *hearer* is told what happens and can neither slow nor break it (`hearers.Hearers` sees to that).
-`eventlog.EventLog`
-  is one.
-- *Facts*: what a subsystem knows reaches the decision module as the plain values of `terms.ExternalView`, set
-through
-  `policy_host.RelayPolicyHost.update_external_view`. `boxlist.BoxList.set_aside` does so for the operator's
-  file.
+"""Extension points of a running relay: frontends, observers and external facts.
+
+- A *frontend* accepts client connections of any protocol and delivers their answers. It passes requests to a
+  RequestHandler, and its connections implement ClientConnection. `clients.Listener` is the one in use.
+- An *observer* is notified of events and can neither delay nor break the relay (`hearers.Hearers` ensures
+  that). `eventlog.EventLog` is one.
+- *External facts* of other subsystems reach the balancer as the plain values of `terms.ExternalView`, set
+  through `policy_host.RelayPolicyHost.update_external_view`. `boxlist.BoxList.set_aside` does so for the
+  operator file.
 """
 
 from __future__ import annotations
@@ -23,75 +21,124 @@
 
 
 class ClientConnection(Protocol):
-    """A client's connection as the tunnels see it. Every answer but `opened` is its last word."""
+    """A client's connection, as Tunnels uses it. Every answer but `accept` also ends the connection."""
 
     transport: Any
 
-    def peer_has_left(self) -> bool: ...
-    def accept(self, line: bytes) -> None: ...
-    def send_lines(self, lines: list[bytes]) -> None: ...
-    def reject(self, retry_after: int) -> None: ...
-    def send_error(self) -> None: ...
-    def send_move(self) -> None: ...
-    def finish(self) -> None: ...
-    def abort(self) -> None: ...
-    def bad_input(self, why: str) -> None: ...
+    def peer_has_left(self) -> bool:
+        """Returns whether the client has closed the connection, even if that was not read yet."""
+        ...
+
+    def accept(self, line: bytes) -> None:
+        """Sends the backend's answer and opens the connection for lines in both directions."""
+        ...
+
+    def send_lines(self, lines: list[bytes]) -> None:
+        """Sends lines of the open connection."""
+        ...
+
+    def reject(self, retry_after: int) -> None:
+        """Rejects the request; `retry_after` is the suggested wait in ns, 0 for none."""
+        ...
+
+    def send_error(self) -> None:
+        """Answers the request with an error."""
+        ...
+
+    def send_move(self) -> None:
+        """Asks the client to open its connection anew."""
+        ...
+
+    def finish(self) -> None:
+        """Closes the connection once everything is sent."""
+        ...
+
+    def abort(self) -> None:
+        """Resets the connection."""
+        ...
+
+    def bad_input(self, why: str) -> None:
+        """Ends a connection that violates the protocol; `why` is logged."""
+        ...
 
 
 class RequestHandler(Protocol):
-    """Where a front takes what comes; tunnel_id is the handle that arrived gave, below 0 for one already
-    answered."""
+    """Receives the requests and connections of a frontend."""
 
-    def request_arrived(self, client: ClientConnection, opening: OpenRequest) -> int: ...
-    def lines_from_client(self, tunnel_id: int, lines: list[bytes]) -> None: ...
-    def client_closed(self, tunnel_id: int, abrupt: bool) -> None: ...
+    def request_arrived(self, client: ClientConnection, open_request: OpenRequest) -> int:
+        """Takes a request and returns its tunnel id; below 0 if the request was answered at once."""
+        ...
+
+    def lines_from_client(self, tunnel_id: int, lines: list[bytes]) -> None:
+        """Forwards lines that the client sent on its open connection."""
+        ...
+
+    def client_closed(self, tunnel_id: int, abrupt: bool) -> None:
+        """Handles the end of a client's connection; `abrupt` tells that it was reset."""
+        ...
 
 
 class Frontend(Protocol):
-    """What takes clients in. It owns its listener and its connections."""
+    """Accepts clients. It owns its listening socket and its connections."""
+
+    out_of_service: bool  # health checks fail, so that no more clients are directed to this relay
+
+    def open(self, address: Address, inherited: int | None = None) -> None:
+        """Starts listening, on the inherited descriptor if there is one. Raises CannotListenError."""
+        ...
 
-    out_of_service: bool  # out of service: no more clients are to be dealt here
+    def pause_accepting(self) -> None:
+        """Stops accepting connections; they wait in the system's queue."""
+        ...
 
-    def open(self, address: Address, inherited: int | None = None) -> None: ...
-    def pause_accepting(self) -> None: ...
-    def resume_accepting(self) -> None: ...
-    def turn_away(self) -> None: ...
-    def slots_freed(self) -> None: ...
+    def resume_accepting(self) -> None:
+        """Accepts connections again."""
+        ...
+
+    def turn_away(self) -> None:
+        """Resets connections that have not sent a whole request, or that were answered."""
+        ...
+
+    def slots_freed(self) -> None:
+        """Resumes accepting if it had stopped for want of slots."""
+        ...
 
 
 class Observer:
-    """Told what happens, after it has. A method left as it is costs nothing. Times are ns, tunnels and boxes
-    the relay's own numbers; what a method raises, or takes too long over, is its own loss."""
+    """Notified of events after they have happened.
+
+    Override the methods of interest; the others cost nothing. Times are in ns. Ids of tunnels and backends
+    are the relay's own numbers. An exception or a slow method affects only the observer itself.
+    """
 
     def arrived(self, now: int, tunnel_id: int, profile: int, returning: bool) -> None:
         """A client's request was taken."""
 
     def set_up(self, now: int, tunnel_id: int, backend_id: int, timeout: int) -> None:
-        """A setup goes out."""
+        """An attempt began."""
 
     def opened(self, now: int, tunnel_id: int, backend_id: int, took: int) -> None:
-        """A box has taken the tunnel, that long after the setup began."""
+        """A backend accepted the connection, `took` ns after the attempt began."""
 
     def setup_over(
         self, now: int, tunnel_id: int, backend_id: int, outcome: Outcome, took: int, was_open: bool
     ) -> None:
-        """A setup failed, or an open tunnel was ended by its box."""
+        """An attempt failed, or the backend closed an open connection."""
 
     def answered(self, now: int, tunnel_id: int, declined: bool, took: int) -> None:
-        """The client was told no: BUSY, or else an error."""
+        """The request was rejected (BUSY) or, if `declined` is false, answered with an error."""
 
     def moved(self, now: int, tunnel_id: int, backend_id: int) -> None:
-        """An open tunnel's client was sent to come again."""
+        """The client of an open connection was asked to open it anew."""
 
     def ended(self, now: int, tunnel_id: int, took: int) -> None:
-        """The tunnel's slot is given back, that long after it arrived; its number means another one from now
-        on."""
+        """The slot was released, `took` ns after the request arrived; its id may be reused from now on."""
 
     def listed(self, now: int, form: ListForm, entries: list[Listed]) -> None:
-        """The list of boxes has changed, or was lost."""
+        """The list of backends changed, or became unavailable."""
 
     def probed(self, now: int, backend_id: int, answered: bool, report: LoadReport) -> None:
-        """A probe is over."""
+        """A probe ended."""
 
 
 OBSERVED_EVENTS = (
--- a/cedarledge/net/invariants.py
+++ b/cedarledge/net/invariants.py
@@ -1,4 +1,4 @@
-"""Rules that hold at every moment of a running relay, and the count of those that were seen broken."""
+"""Invariants of a running relay, and counters of their violations."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from loguru import logger
 
-# Lines in the log for each invariant; past them only the count goes on.
+# Log lines for each invariant; later violations are only counted.
 MAX_LOGGED = 20
 
 
 class Invariant(Enum):
-    """What must never be seen. The value is how the log calls it."""
+    """A condition that must never occur. The value is its description in log lines."""
 
     TWO_ATTEMPTS = "an attempt while another is out"
     ATTEMPT_AFTER_ANSWER = "an attempt after the final answer"
@@ -29,19 +29,20 @@
 
 
 class Invariants:
-    """Counts violations, and logs the first of each kind."""
+    """Counts violations and logs the first MAX_LOGGED of each invariant."""
 
     def __init__(self) -> None:
+        """Starts with no violations."""
         self.counts: Counter[Invariant] = Counter()
 
-    def broken(self, invariant: Invariant, about: str) -> None:
-        """One was seen broken; `about` names the request, the backend and how far."""
+    def record_violation(self, invariant: Invariant, details: str) -> None:
+        """Counts a violation; `details` names the request, the backend and the extent for the log."""
         self.counts[invariant] += 1
         if self.counts[invariant] <= MAX_LOGGED:
-            logger.error("invariant broken: {}: {}", invariant.value, about)
+            logger.error("invariant broken: {}: {}", invariant.value, details)
 
     def summary(self) -> str:
-        """All counts in one line."""
+        """Returns all counts in one line, for the log."""
         if not self.counts:
             return "no invariant broken"
         return "invariants broken: " + ", ".join(
--- a/cedarledge/net/lines.py
+++ b/cedarledge/net/lines.py
@@ -1,4 +1,4 @@
-"""Cuts a byte stream into the protocol's lines."""
+"""Splits the byte stream of a connection into the protocol's lines."""
 
 from __future__ import annotations
 
@@ -8,16 +8,20 @@
 
 END = b"\r\n"
 MAX_LINE_BYTES = 4096
-# A line that waits for its rest may have come whole but for the last byte of its end.
+# An incomplete line may be a line of the maximum length that lacks only the last byte of its terminator.
 BUFFER_SIZE = MAX_LINE_BYTES + 1
 
 
 class LineTooLongError(Exception):
-    """A line past the protocol's limit."""
+    """A line is longer than the protocol allows."""
 
 
 def parse_finite(text: str) -> float:
-    """A number out of a line. What is not finite would stay in every sum that it enters."""
+    """Returns a number that was received in a line.
+
+    Raises ValueError for anything else, and for infinities and NaN: a value that is not finite would stay in
+    every running sum that it is added to.
+    """
     value = float(text)
     if not math.isfinite(value):
         raise ValueError(f"not finite: {text}")
@@ -25,17 +29,24 @@
 
 
 class LineBuffer:
-    """The lines of one connection. It owns at most one buffer, and only while a line has come in part."""
+    """Line decoder of one connection.
+
+    It holds at most one buffer of the pool, and only while the last line is incomplete.
+    """
 
     __slots__ = ("_buffer", "_held", "_pool")
 
     def __init__(self, pool: Pool) -> None:
+        """Takes buffers for incomplete lines from `pool`."""
         self._pool = pool
         self._buffer: bytearray | None = None
         self._held = 0
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that the data completes, without their ends."""
+        """Returns the lines that `data` completes, without their terminators.
+
+        Raises LineTooLongError, or NoBufferError if an incomplete line needs a buffer and none is left.
+        """
         if self._buffer is not None:
             data = bytes(memoryview(self._buffer)[: self._held]) + data
             self.close()
@@ -50,12 +61,12 @@
         return lines
 
     @property
-    def waiting(self) -> bool:
-        """Whether a part of a line is here whose rest is not."""
+    def has_partial_line(self) -> bool:
+        """Whether the last line is incomplete."""
         return self._buffer is not None
 
     def close(self) -> None:
-        """The one place where the buffer is given back."""
+        """Returns the buffer to the pool; nothing else does."""
         if self._buffer is not None:
             self._pool.give_back(self._buffer)
             self._buffer = None
--- a/cedarledge/net/policy_host.py
+++ b/cedarledge/net/policy_host.py
@@ -1,4 +1,4 @@
-"""The decision module in its place: calls to it are guarded, what it wants done is handed on."""
+"""Hosts the balancer in a relay: guards calls to it and carries out its actions."""
 
 from __future__ import annotations
 
@@ -21,63 +21,73 @@
 
 
 class RelayPolicyHost:
-    """The host of one Balancer (terms.PolicyHost), and the way by which everything reaches it."""
+    """Host of one Balancer (terms.PolicyHost); all events reach the balancer through it."""
 
     balancer: Balancer
 
     def __init__(self, clock: Callable[[], int], timers: Timers) -> None:
+        """Uses `clock` (ns) and `timers`; connect and start must follow before any event."""
         self.clock = clock
         self.timers = timers
         self.external_view = ExternalView()
 
     def connect(self, tunnels: Tunnels, backends: Backends, boxes: BoxList, watching: Watch) -> None:
+        """Sets the parts of the relay that carry out the balancer's actions."""
         self.tunnels = tunnels
         self.backends = backends
         self.boxes = boxes
         self.watching = watching
-        # Sends and answers are a tunnel's business alone; they need no way through here.
+        # Attempts and answers concern one tunnel only and go straight to Tunnels.
         self.send, self.decline = tunnels.send, tunnels.decline
         self.close_with_error, self.move = tunnels.close_with_error, tunnels.move
 
     def start(self, settings: DeploymentSettings, make_balancer: MakeBalancer = Balancer) -> None:
+        """Creates the balancer, which may act at once."""
         self.balancer = make_balancer(self, settings)
 
     def random(self) -> float:
-        """A draw from the one source of random numbers that a relay has."""
+        """Returns a number in [0, 1) from the relay's only source of random numbers."""
         return self.balancer.chance()
 
     def call(self, method: Callable[..., None], *args: Any) -> bool:
-        """Calls the module. A fault there costs one event, not the connections that this relay holds; but
-        who was waiting for its word may never hear it, and is answered now."""
+        """Calls a method of the balancer with the current time and `args`; returns whether it succeeded.
+
+        An exception loses this event but not the relay's connections. The balancer may then never answer the
+        requests that wait for its decision, so they are answered here.
+        """
         try:
             method(self.clock(), *args)
         except Exception:
-            logger.exception("the decision module failed")
+            logger.exception("a call to the balancer failed")
             self.tunnels.fail_waiting_requests()
             return False
         return True
 
-    def update_external_view(self, **known: Any) -> None:
-        """A subsystem's fields of the external view have changed."""
-        external_view = self.external_view._replace(**known)
+    def update_external_view(self, **fields: Any) -> None:
+        """Replaces fields of the external view, and notifies the balancer if that changes it."""
+        external_view = self.external_view._replace(**fields)
         if external_view != self.external_view:
             self.external_view = external_view
             self.call(self.balancer.knows, external_view)
 
-    # -- the rest of the host interface ------------------------------------------------------------
+    # -- the other methods of terms.PolicyHost -----------------------------------------------------
 
     def probe(self, backend_id: int) -> None:
+        """Sends a probe to a backend."""
         self.backends.probe(backend_id, self.boxes.addresses[backend_id])
 
     def wake(self, delay: int, token: int) -> None:
-        # The module takes the end of a look for its box's silence.
+        """Calls the balancer with the token after a delay in ns."""
+        # Received data is read first: the balancer takes an expired probe timer for an unanswered probe.
         self.timers.after_reading(delay, self._on_timer, token)
 
     def _on_timer(self, token: int) -> None:
         self.call(self.balancer.woke, token)
 
     def watch(self) -> None:
+        """Starts to follow the list of backends."""
         self.watching.start()
 
     def log(self, text: str) -> None:
+        """Writes a line of the balancer to the log."""
         logger.info("{}", text)
--- a/cedarledge/net/request_guard.py
+++ b/cedarledge/net/request_guard.py
@@ -1,7 +1,7 @@
-"""The one place that says whether a request may be attempted, rejected or answered.
+"""Decides whether a request may be attempted, rejected or answered; nothing else does.
 
-It goes by what this relay did for the request and by the list, not by what the policy remembers, so that a
-fault in either is seen by the other.
+The checks use the relay's own record of the request and the list of backends, not the policy's state, so a
+fault in the policy is detected here.
 """
 
 from __future__ import annotations
@@ -12,51 +12,54 @@
 from cedarledge.net.invariants import Invariant, Invariants
 from cedarledge.terms import MS, NEVER_RAN, Dedup, Effect, Outcome, ProfileRow
 
-# What the platform allows past each time limit on sockets.
+# The platform tolerates this much past each time limit on sockets.
 TIME_LIMIT_GRACE = 50 * MS
-# Where an entry of the list says what a deduplication group shares.
+# The field of a list entry whose value is the same throughout a deduplication group.
 GROUP_FIELDS = {Dedup.ZONE: "locality", Dedup.CELL: "cell"}
 
 
 class Attempt:
-    """One try at one backend."""
+    """One attempt of a request at one backend."""
 
     __slots__ = ("backend_id", "began", "entry", "outcome")
 
     def __init__(self, backend_id: int, began: int, entry: Mapping[str, Any] | None) -> None:
+        """Records an attempt that begins at `began` (ns); `entry` is the backend's entry in the list."""
         self.backend_id = backend_id
         self.began = began
-        self.entry = entry  # the list's, as it was then
-        self.outcome: Outcome | None = None  # None: it is out
+        self.entry = entry  # as of the beginning of the attempt
+        self.outcome: Outcome | None = None  # None: in progress
 
     @property
     def may_have_run(self) -> bool:
+        """Whether the backend may have executed the request; true while the attempt is in progress."""
         return self.outcome not in NEVER_RAN
 
 
 class RequestRecord:
-    """What was done for one request, from its arrival to its final answer."""
+    """Attempts and answer of one request, from its arrival to its final answer."""
 
     __slots__ = ("answer", "attempts", "deadline", "request_class", "request_id")
 
     def __init__(self, request_id: str, request_class: int, deadline: int) -> None:
+        """Starts a record without attempts; `deadline` is in ns on the relay's clock, 0 for none."""
         self.request_id = request_id
         self.request_class = request_class
-        self.deadline = deadline  # 0: none, the connection was open before this relay's start
+        self.deadline = deadline  # 0: none; the connection was open before this relay started
         self.attempts: list[Attempt] = []
-        self.answer = ""  # the word that the client had
+        self.answer = ""  # first word of the final answer sent to the client; "": none yet
 
     def attempt_ended(self, outcome: Outcome) -> None:
-        """The attempt that is out has ended."""
+        """Records how the attempt in progress ended; does nothing if there is none."""
         if self.attempts and self.attempts[-1].outcome is None:
             self.attempts[-1].outcome = outcome
 
-    def executed(self) -> Attempt | None:
-        """The first attempt that may have run."""
+    def first_possible_run(self) -> Attempt | None:
+        """Returns the first attempt that may have run; None if there is none."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
-    def story(self, names: Sequence[str], now: int) -> str:
-        """For the log: the request and how its attempts ended."""
+    def describe(self, names: Sequence[str], now: int) -> str:
+        """Returns the request id, the time left and the outcome and age of each attempt, for the log."""
         attempts = ", ".join(
             f"{names[attempt.backend_id]} {attempt.outcome.name if attempt.outcome is not None else 'out'}"
             f" {(now - attempt.began) // MS} ms ago"
@@ -71,7 +74,10 @@
 
 
 class RequestGuard:
-    """Refuses what would break a rule, and counts it: a refusal here is a fault of the code that asked."""
+    """Refuses actions that would violate an invariant, and counts them.
+
+    Each refusal is a fault of the caller, which must not ask for such an action.
+    """
 
     def __init__(
         self,
@@ -81,26 +87,33 @@
         listed: Mapping[int, Mapping[str, Any]],
         names: Sequence[str],
     ) -> None:
-        """`listed` has the list's entries and `names` the backends' names, each by backend."""
+        """Checks requests of the given classes.
+
+        `listed` maps backend ids to entries of the list; `names` holds the backends' names by id. Both are
+        shared with the list and change with it.
+        """
         self.invariants = invariants
         self._clock = clock
         self._classes = classes
         self._listed = listed
         self._names = names
 
-    def story(self, request: RequestRecord) -> str:
-        """What the log says of a request."""
-        return request.story(self._names, self._clock())
+    def describe(self, request: RequestRecord) -> str:
+        """Returns the description of a request for log lines."""
+        return request.describe(self._names, self._clock())
 
-    def attempt(self, request: RequestRecord, backend_id: int) -> None:
-        """One begins, as may_attempt has allowed."""
+    def record_attempt(self, request: RequestRecord, backend_id: int) -> None:
+        """Records that an attempt begins; may_attempt must have allowed it."""
         request.attempts.append(Attempt(backend_id, self._clock(), self._listed.get(backend_id)))
 
     def may_attempt(self, request: RequestRecord, backend_id: int, is_ready: bool) -> bool:
-        """Whether an attempt may begin now; is_ready: the backend takes new connections."""
+        """Returns whether an attempt may begin now, and counts a violation if not.
+
+        `is_ready` tells whether the backend accepts new connections.
+        """
         violation = self._attempt_violation(request, backend_id, is_ready)
         if violation is not None:
-            self._broken(violation, request, f" at {self._names[backend_id]}")
+            self._violated(violation, request, f" at {self._names[backend_id]}")
         return violation is None
 
     def _attempt_violation(self, request: RequestRecord, backend_id: int, is_ready: bool) -> Invariant | None:
@@ -118,37 +131,40 @@
         return None
 
     def _may_repeat(self, request: RequestRecord, backend_id: int, now: int) -> bool:
-        executed = request.executed()
-        if executed is None or not self._classes:
+        first = request.first_possible_run()
+        if first is None or not self._classes:
             return True
         row = self._classes[request.request_class]
         if row.effect is not Effect.REFERENCED:
             return row.effect is Effect.REPEATABLE
-        if now >= executed.began + row.window + TIME_LIMIT_GRACE:
+        if now >= first.began + row.window + TIME_LIMIT_GRACE:
             return False
         field = GROUP_FIELDS.get(row.dedup)
-        return field is None or _value(executed.entry, field) == _value(self._listed.get(backend_id), field)
+        return field is None or _value(first.entry, field) == _value(self._listed.get(backend_id), field)
 
     def may_reject(self, request: RequestRecord) -> bool:
-        """Whether its client may be told that another request is harmless."""
-        if not self._classes or request.executed() is None:
+        """Returns whether the request may be rejected, which tells the client that repeating it is harmless.
+
+        Counts a violation if not.
+        """
+        if not self._classes or request.first_possible_run() is None:
             return True
         row = self._classes[request.request_class]
         is_harmless = row.effect is Effect.REPEATABLE or (
             row.effect is Effect.REFERENCED and row.dedup is Dedup.ALL
         )
         if not is_harmless:
-            self._broken(Invariant.REJECTED_EFFECT, request)
+            self._violated(Invariant.REJECTED_EFFECT, request)
         return is_harmless
 
-    def answered(self, request: RequestRecord, word: str) -> None:
-        """Its final answer is out."""
+    def record_answer(self, request: RequestRecord, word: str) -> None:
+        """Records the final answer, and counts a violation if it is late or not the first."""
         now = self._clock()
         if request.answer:
-            self._broken(Invariant.SECOND_ANSWER, request, f": {word} after {request.answer}")
+            self._violated(Invariant.SECOND_ANSWER, request, f": {word} after {request.answer}")
         elif request.deadline and now > request.deadline + TIME_LIMIT_GRACE:
-            self._broken(Invariant.LATE_ANSWER, request, f": {word}")
+            self._violated(Invariant.LATE_ANSWER, request, f": {word}")
         request.answer = word
 
-    def _broken(self, invariant: Invariant, request: RequestRecord, more: str = "") -> None:
-        self.invariants.broken(invariant, self.story(request) + more)
+    def _violated(self, invariant: Invariant, request: RequestRecord, details: str = "") -> None:
+        self.invariants.record_violation(invariant, self.describe(request) + details)
--- a/cedarledge/net/slots.py
+++ b/cedarledge/net/slots.py
@@ -1,4 +1,4 @@
-"""Tables of numbered slots."""
+"""Fixed-capacity table of numbered slots."""
 
 from __future__ import annotations
 
@@ -8,29 +8,32 @@
 
 
 class NoFreeSlotError(Exception):
-    """No slot is free."""
+    """Every slot is in use or reserved."""
 
 
 class SlotTable(Generic[Holder]):
-    """A table of at most `capacity` holders.
+    """Table of at most `capacity` holders.
 
-    A handle names a slot and the generation in which it was taken, so that what comes late for one holder
-    never reaches the slot's next.
+    A handle encodes a slot and the slot's generation, which grows each time the slot is released. An event
+    that arrives late for a former holder therefore never reaches the slot's next holder.
     """
 
     def __init__(self, capacity: int) -> None:
+        """Creates an empty table; slots are allocated on demand."""
         self.capacity = capacity
         self.used = 0
-        self.reserved = 0  # that another process has for now
+        self.reserved = 0  # for another process of this relay, during a handover
         self._holders: list[Holder | None] = []
         self._generations: list[int] = []
         self._free_places: list[int] = []
 
     @property
     def free(self) -> int:
+        """Number of slots that can be allocated; negative if more is reserved than is free."""
         return self.capacity - self.used - self.reserved
 
     def allocate(self, holder: Holder) -> int:
+        """Stores the holder and returns its handle. Raises NoFreeSlotError."""
         if self.free <= 0:
             raise NoFreeSlotError(f"all {self.capacity} slots are taken")
         if self._free_places:
@@ -44,6 +47,7 @@
         return self._generations[place] * self.capacity + place
 
     def get(self, handle: int) -> Holder | None:
+        """Returns the holder, or None if its slot was released."""
         generation, place = divmod(handle, self.capacity)
         return (
             self._holders[place]
@@ -52,6 +56,7 @@
         )
 
     def release(self, handle: int) -> None:
+        """Frees the slot of a handle. Raises KeyError if it is not allocated."""
         generation, place = divmod(handle, self.capacity)
         if self._generations[place] != generation or self._holders[place] is None:
             raise KeyError(handle)
@@ -61,6 +66,7 @@
         self.used -= 1
 
     def handles(self) -> list[int]:
+        """Returns the handles of all holders, in the order of their slots."""
         return [
             generation * self.capacity + place
             for place, generation in enumerate(self._generations)
--- a/cedarledge/net/tunnels.py
+++ b/cedarledge/net/tunnels.py
@@ -142,7 +142,7 @@
 
     def _set_up(self, tunnel_id: int, backend_id: int, timeout: int, connect_within: int) -> None:
         tunnel = self.table.get(tunnel_id)
-        self.guard.attempt(tunnel.request, backend_id)
+        self.guard.record_attempt(tunnel.request, backend_id)
         try:
             tunnel.setup = self.backends.set_up(
                 tunnel_id,
@@ -161,13 +161,13 @@
             self.close_with_error(tunnel_id)
             return
         tunnel.client.reject(come_back)
-        self.context.rate_limited_log.about("rejected", lambda: self.guard.story(tunnel.request))
+        self.context.rate_limited_log.about("rejected", lambda: self.guard.describe(tunnel.request))
         self._answered(tunnel_id, True)
 
     def close_with_error(self, tunnel_id: int) -> None:
         tunnel = self.table.get(tunnel_id)
         tunnel.client.send_error()
-        self.context.rate_limited_log.about("failed", lambda: self.guard.story(tunnel.request))
+        self.context.rate_limited_log.about("failed", lambda: self.guard.describe(tunnel.request))
         self._answered(tunnel_id, False)
 
     def move(self, tunnel_id: int) -> None:
@@ -326,7 +326,7 @@
         )
         tunnel.is_open = True
         self._counts["opened"] += 1
-        self.guard.answered(tunnel.request, "UP")
+        self.guard.record_answer(tunnel.request, "UP")
         setup, client = tunnel.setup, tunnel.client
         tunnel.echo = Echo(self.echoes, tunnel_id, setup.backend_id)
         client.accept(line)
@@ -426,7 +426,7 @@
     def silent(self, tunnel_id: int) -> None:
         tunnel = self.table.get(tunnel_id)
         self._counts["silent"] += 1
-        logger.info("silent: {}", self.guard.story(tunnel.request))
+        logger.info("silent: {}", self.guard.describe(tunnel.request))
         self.policy_host.call(self.policy_host.balancer.silent, tunnel_id)
 
     # -- the end of a tunnel -----------------------------------------------------------------------
@@ -448,7 +448,7 @@
         """The final answer is out. The module gives it only when no setup is."""
         tunnel = self.table.get(tunnel_id)
         self._counts["rejected" if declined else "failed"] += 1
-        self.guard.answered(tunnel.request, "BUSY" if declined else "ERR")
+        self.guard.record_answer(tunnel.request, "BUSY" if declined else "ERR")
         self._part(tunnel)
         self.hearers.tell("answered", tunnel_id, declined, self.clock() - tunnel.began)
         self._free(tunnel_id)
@@ -457,7 +457,7 @@
         """The module failed on this tunnel: its client still gets an answer."""
         tunnel = self.table.get(tunnel_id)
         if tunnel is not None and not tunnel.closed:
-            self.guard.answered(tunnel.request, "ERR")
+            self.guard.record_answer(tunnel.request, "ERR")
             self.client_closed(tunnel_id, abrupt=False)
             tunnel.client.send_error()
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -40,7 +40,7 @@
 
     def attempted(self, request: RequestRecord, outcome: Outcome | None, backend: int = 0) -> RequestRecord:
         assert self.guard.may_attempt(request, backend, is_ready=True)
-        self.guard.attempt(request, backend)
+        self.guard.record_attempt(request, backend)
         if outcome is not None:
             request.attempt_ended(outcome)
         return request
@@ -64,9 +64,9 @@
 @mark.parametrize("word", ["UP", "BUSY", "ERR"])
 def test_nothing_goes_out_after_the_answer(scene: Scene, word: str) -> None:
     request = scene.request()
-    scene.guard.answered(request, word)
+    scene.guard.record_answer(request, word)
     assert not scene.guard.may_attempt(request, 1, is_ready=True)
-    scene.guard.answered(request, "ERR")
+    scene.guard.record_answer(request, "ERR")
     assert scene.seen == {Invariant.ATTEMPT_AFTER_ANSWER: 1, Invariant.SECOND_ANSWER: 1}
 
 
@@ -78,12 +78,12 @@
 def test_time_limits_have_the_platforms_grace_and_no_more(scene: Scene) -> None:
     request = scene.request()
     scene.now = request.deadline + TIME_LIMIT_GRACE
-    scene.guard.answered(request, "ERR")
+    scene.guard.record_answer(request, "ERR")
     assert not scene.seen
     late = scene.request()
     scene.now = late.deadline + TIME_LIMIT_GRACE + MS
     assert not scene.guard.may_attempt(late, 1, is_ready=True)
-    scene.guard.answered(late, "ERR")
+    scene.guard.record_answer(late, "ERR")
     assert scene.seen == {Invariant.ATTEMPT_PAST_DEADLINE: 1, Invariant.LATE_ANSWER: 1}
 
 
