--- a/cedarledge/net/interfaces.py
+++ b/cedarledge/net/interfaces.py
@@ -2,7 +2,7 @@
 
 - A *frontend* accepts client connections of any protocol and delivers their answers. It passes requests to a
   RequestHandler, and its connections implement ClientConnection. `clients.Listener` is the one in use.
-- An *observer* is notified of events and can neither delay nor break the relay (`hearers.Hearers` ensures
+- An *observer* is notified of events and can neither delay nor break the relay (`observers.Observers` ensures
   that). `eventlog.EventLog` is one.
 - *External facts* of other subsystems reach the balancer as the plain values of `terms.ExternalView`, set
   through `policy_host.RelayPolicyHost.update_external_view`. `boxlist.BoxList.set_aside` does so for the
--- a/cedarledge/net/slots.py
+++ b/cedarledge/net/slots.py
@@ -12,7 +12,7 @@
 
 
 class SlotTable(Generic[Holder]):
-    """Table of at most `capacity` holders.
+    """Table of at capacity `capacity` holders.
 
     A handle encodes a slot and the slot's generation, which grows each time the slot is released. An event
     that arrives late for a former holder therefore never reaches the slot's next holder.
--- a/cedarledge/net/tunnels.py
+++ b/cedarledge/net/tunnels.py
@@ -11,10 +11,10 @@
 from cedarledge.net.boxlist import BoxList
 from cedarledge.net.clients import OpenRequest
 from cedarledge.net.echoes import Echo, Echoes
-from cedarledge.net.hearers import Hearers
 from cedarledge.net.interfaces import ClientConnection
 from cedarledge.net.lines import parse_finite
 from cedarledge.net.links import ConnectionContext
+from cedarledge.net.observers import Observers
 from cedarledge.net.policy_host import RelayPolicyHost
 from cedarledge.net.request_guard import RequestGuard, RequestRecord
 from cedarledge.net.slots import NoFreeSlotError, SlotTable
@@ -76,8 +76,7 @@
 
 
 class Tunnels:
-    """All tunnels of a relay, whatever front they came by: an interfaces.RequestHandler for the clients'
-    side, a backends.Watcher for the other."""
+    """All tunnels of a relay, whatever front they came by."""
 
     backends: Backends
     echoes: Echoes
@@ -87,7 +86,7 @@
         context: ConnectionContext,
         policy_host: RelayPolicyHost,
         boxes: BoxList,
-        hearers: Hearers,
+        observers: Observers,
         most: int,
         profiles: Mapping[str, int],
         tenants: Mapping[str, int],
@@ -103,7 +102,7 @@
         self.timers = context.timers
         self.policy_host = policy_host
         self.boxes = boxes
-        self.hearers = hearers
+        self.observers = observers
         self.table: SlotTable[Tunnel] = SlotTable(most)
         self.ids: set[str] = set()  # of all tunnels here, as their clients named them
         self.predecessor_ids: frozenset[str] = frozenset()  # at the process that this one takes over from
@@ -134,7 +133,7 @@
             self._not_sent(tunnel_id, backend_id)
             return
         self._set_up(tunnel_id, backend_id, timeout, self.connect_within)
-        self.hearers.tell("set_up", tunnel_id, backend_id, timeout)
+        self.observers.notify("set_up", tunnel_id, backend_id, timeout)
 
     def _not_sent(self, tunnel_id: int, backend_id: int) -> None:
         """Tells the module once it is through with what it does now."""
@@ -182,7 +181,7 @@
         tunnel.request.attempt_ended(Outcome.CANCELLED)
         tunnel.client.send_move()
         setup.call_off()
-        self.hearers.tell("moved", tunnel_id, setup.backend_id)
+        self.observers.notify("moved", tunnel_id, setup.backend_id)
         # The module is in the midst of moving, so it hears of the end afterwards.
         self.timers.after(0, self._moved, tunnel_id, setup.backend_id, self.clock() - setup.began)
 
@@ -216,7 +215,7 @@
             return -1
         self.ids.add(open_request.id)
         self._counts["taken"] += 1
-        self.hearers.tell("arrived", tunnel_id, profile, open_request.returning)
+        self.observers.notify("arrived", tunnel_id, profile, open_request.returning)
         if open_request.previous_backend is not None:
             self._adopt(tunnel_id)
             return tunnel_id
@@ -348,7 +347,7 @@
                 setup.backend_id,
                 open_request.load_hint,
             )
-        self.hearers.tell("opened", tunnel_id, setup.backend_id, took)
+        self.observers.notify("opened", tunnel_id, setup.backend_id, took)
 
     def lines_back(self, tunnel_id: int, lines: list[bytes]) -> None:
         tunnel = self.table.get(tunnel_id)
@@ -393,7 +392,7 @@
         was_open = tunnel.is_open
         tunnel.request.attempt_ended(outcome)
         self._part(tunnel, over=was_open)
-        self.hearers.tell("setup_over", tunnel_id, backend_id, outcome, took, was_open)
+        self.observers.notify("setup_over", tunnel_id, backend_id, outcome, took, was_open)
         if was_open:
             if outcome is not Outcome.DONE:
                 self.net_returned_clients.add(self.clock(), -1)
@@ -450,7 +449,7 @@
         self._counts["rejected" if declined else "failed"] += 1
         self.guard.record_answer(tunnel.request, "BUSY" if declined else "ERR")
         self._part(tunnel)
-        self.hearers.tell("answered", tunnel_id, declined, self.clock() - tunnel.began)
+        self.observers.notify("answered", tunnel_id, declined, self.clock() - tunnel.began)
         self._free(tunnel_id)
 
     def fail_request(self, tunnel_id: int) -> None:
@@ -483,6 +482,6 @@
     def _free(self, tunnel_id: int) -> None:
         """The one place where a tunnel's slot and its id are given back."""
         tunnel = self.table.get(tunnel_id)
-        self.hearers.tell("ended", tunnel_id, self.clock() - tunnel.began)
+        self.observers.notify("ended", tunnel_id, self.clock() - tunnel.began)
         self.ids.remove(tunnel.open_request.id)
         self.table.release(tunnel_id)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -37,7 +37,7 @@
             balancer=host.balancer,
             update_external_view=lambda aside: host.balancer.knows(host.now, ExternalView(aside=aside)),
         )
-        self.boxes = BoxList(policy_host, SimpleNamespace(tell=lambda *_: None), {"dcs": ["z"]})
+        self.boxes = BoxList(policy_host, SimpleNamespace(notify=lambda *_: None), {"dcs": ["z"]})
         self.told(True, *[self.entry(name) for name in NAMES])
 
     def entry(self, name: str, phase: str = "up", started: int = 0) -> dict:
--- a/tests/test_tunnels.py
+++ b/tests/test_tunnels.py
@@ -13,10 +13,10 @@
 from cedarledge.net.buffers import Pool
 from cedarledge.net.clients import parse_open_request
 from cedarledge.net.echoes import Delays, Echoes
-from cedarledge.net.hearers import Hearers
 from cedarledge.net.interfaces import Observer
 from cedarledge.net.invariants import Invariants
 from cedarledge.net.links import ConnectionContext
+from cedarledge.net.observers import Observers
 from cedarledge.net.policy_host import RelayPolicyHost
 from cedarledge.net.rate_limited_log import RateLimitedLog
 from cedarledge.net.slots import NoFreeSlotError, SlotTable
@@ -115,16 +115,16 @@
             Invariants(),
         )
         self.invariants = context.invariants
-        hearers = Hearers(self.now, timers)
-        hearers.add(Ear())
+        observers = Observers(self.now, timers)
+        observers.add(Ear())
         self.policy_host = RelayPolicyHost(self.now, timers)
-        self.boxes = BoxList(self.policy_host, hearers, {})
+        self.boxes = BoxList(self.policy_host, observers, {})
         profiles = {"a": 0, "b": 1, "c": 2}
         self.tunnels = Tunnels(
             context,
             self.policy_host,
             self.boxes,
-            hearers,
+            observers,
             MOST,
             profiles,
             {},
