--- a/cedarledge/net/audit.py
+++ b/cedarledge/net/audit.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from cedarledge.net.invariants import Invariant, Invariants
-from cedarledge.net.request_guard import GRACE
+from cedarledge.net.request_guard import TIME_LIMIT_GRACE
 from cedarledge.net.timers import Timer, Timers
 from cedarledge.net.tunnels import Tunnel, Tunnels
 from cedarledge.terms import MS, SECOND
@@ -70,17 +70,17 @@
 
     def _check_tunnel(self, handle: int, tunnel: Tunnel, now: int) -> None:
         deadline = tunnel.request.deadline
-        if tunnel.over:
+        if tunnel.closed:
             return
-        if not tunnel.up:
-            if deadline and now > deadline + GRACE:
+        if not tunnel.is_open:
+            if deadline and now > deadline + TIME_LIMIT_GRACE:
                 self._report(Invariant.OVERDUE_REQUEST, handle, tunnel)
         elif tunnel.echo is not None and tunnel.echo.silent_for(now) > LONGEST_SILENCE:
             self._report(Invariant.HELD_SILENT, handle, tunnel)
 
     def _report(self, invariant: Invariant, handle: int, tunnel: Tunnel) -> None:
         self._reported.add(handle)
-        self._invariants.broken(invariant, self._tunnels.guard.story(tunnel.request))
+        self._invariants.record_violation(invariant, self._tunnels.guard.describe(tunnel.request))
 
     def _check_wall_clock(self) -> None:
         offset, before = self._wall_clock(), self._offset
@@ -90,7 +90,9 @@
             logger.warning("the wall clock was stepped by {} ms", (offset - before) // MS)
 
     def _report_stuck_timers(self, late: int) -> None:
-        self._invariants.broken(Invariant.STUCK_TIMERS, f"the first timer was due {late // MS} ms ago")
+        self._invariants.record_violation(
+            Invariant.STUCK_TIMERS, f"the first timer was due {late // MS} ms ago"
+        )
 
     def log_summary(self) -> None:
         """Logs one line of counts if a count has changed."""
@@ -104,6 +106,6 @@
         self._timers.cancel(self._check_timer)
         for handle in self._tunnels.table.handles():
             tunnel = self._tunnels.table.get(handle)
-            if tunnel is not None and not tunnel.over:
+            if tunnel is not None and not tunnel.closed:
                 self._report(Invariant.CLOSED_UNANSWERED, handle, tunnel)
         self.log_summary()
--- a/cedarledge/net/control.py
+++ b/cedarledge/net/control.py
@@ -13,7 +13,7 @@
 from cedarledge.net.links import ConnectionContext, Link
 from cedarledge.net.listeners import ACCEPTS_PER_TURN, EvictingListener
 from cedarledge.net.service import ServiceState, UnknownBackendError
-from cedarledge.net.slots import Slots
+from cedarledge.net.slots import SlotTable
 from cedarledge.terms import MS
 
 if TYPE_CHECKING:
@@ -195,7 +195,7 @@
 
     def __init__(self, context: ConnectionContext, service: ServiceState, handover: Handover | None) -> None:
         """Uses slots of its own, so that clients can't take those of operators."""
-        super().__init__(context._replace(links=Slots(MAX_CALLERS), pool=Pool(0, 0)))
+        super().__init__(context._replace(links=SlotTable(MAX_CALLERS), pool=Pool(0, 0)))
         self.service = service
         self.handover = handover  # None if this relay can't have another process
 
@@ -206,7 +206,7 @@
         # accept 24 connections in its next turn, more than there are slots, and the first of them would be
         # evicted for the last before their calls were read.
         self.context.timers.after(0, setattr, self.port, "numberAccepts", ACCEPTS_PER_TURN)
-        return CallLink(self) if self.context.links.left else None
+        return CallLink(self) if self.context.links.free else None
 
     def handle_call(self, call: Call, answer: Callable[[Answer], None]) -> None:
         """Runs a call; passes the response to `answer` once the other process, if any, has the call too."""
--- a/cedarledge/net/eventlog.py
+++ b/cedarledge/net/eventlog.py
@@ -7,11 +7,11 @@
 
 from loguru import logger
 
-from cedarledge.net.seams import Hearer
+from cedarledge.net.interfaces import Observer
 from cedarledge.terms import Listed, ListForm, LoadReport, Outcome
 
 
-class EventLog(Hearer):
+class EventLog(Observer):
     """Logs events with their fields.
 
     Event names: tunnel.arrived, tunnel.setup, tunnel.opened, tunnel.setup_over, tunnel.answered,
@@ -30,49 +30,59 @@
                 "{} {}", event, " ".join(f"{name}={value}" for name, value in fields.items())
             )
 
-    def arrived(self, now: int, tun: int, profile: int, returning: bool) -> None:
+    def arrived(self, now: int, tunnel_id: int, profile: int, returning: bool) -> None:
         """Logs a request that was taken in, with its profile and whether the client came back."""
         self._log_event(
-            "arrived", "tunnel.arrived", tunnel=tun, profile=self._profiles[profile], returning=returning
+            "arrived",
+            "tunnel.arrived",
+            tunnel=tunnel_id,
+            profile=self._profiles[profile],
+            returning=returning,
         )
 
-    def set_up(self, now: int, tun: int, ep: int, timeout: int) -> None:
+    def set_up(self, now: int, tunnel_id: int, backend_id: int, timeout: int) -> None:
         """Logs an attempt that goes out, with its time-out."""
-        self._log_event("setup", "tunnel.setup", tunnel=tun, backend=self._boxes[ep], timeout=timeout)
+        self._log_event(
+            "setup", "tunnel.setup", tunnel=tunnel_id, backend=self._boxes[backend_id], timeout=timeout
+        )
 
-    def opened(self, now: int, tun: int, ep: int, took: int) -> None:
+    def opened(self, now: int, tunnel_id: int, backend_id: int, took: int) -> None:
         """Logs a tunnel that its backend accepted, with the duration of the attempt."""
-        self._log_event("opened", "tunnel.opened", tunnel=tun, backend=self._boxes[ep], took=took)
+        self._log_event(
+            "opened", "tunnel.opened", tunnel=tunnel_id, backend=self._boxes[backend_id], took=took
+        )
 
-    def setup_over(self, now: int, tun: int, ep: int, outcome: Outcome, took: int, was_open: bool) -> None:
+    def setup_over(
+        self, now: int, tunnel_id: int, backend_id: int, outcome: Outcome, took: int, was_open: bool
+    ) -> None:
         """Logs an attempt that failed, or an open tunnel that its backend ended."""
         self._log_event(
             "setup",
             "tunnel.setup_over",
-            tunnel=tun,
-            backend=self._boxes[ep],
+            tunnel=tunnel_id,
+            backend=self._boxes[backend_id],
             outcome=outcome.name.lower(),
             took=took,
             was_open=was_open,
         )
 
-    def answered(self, now: int, tun: int, declined: bool, took: int) -> None:
+    def answered(self, now: int, tunnel_id: int, declined: bool, took: int) -> None:
         """Logs a rejection (`declined`) or an error that was sent to the client."""
         self._log_event(
             "answered",
             "tunnel.answered",
-            tunnel=tun,
+            tunnel=tunnel_id,
             outcome="declined" if declined else "closed_with_error",
             took=took,
         )
 
-    def moved(self, now: int, tun: int, ep: int) -> None:
+    def moved(self, now: int, tunnel_id: int, backend_id: int) -> None:
         """Logs a client that was told to reconnect elsewhere."""
-        self._log_event("moved", "tunnel.moved", tunnel=tun, backend=self._boxes[ep])
+        self._log_event("moved", "tunnel.moved", tunnel=tunnel_id, backend=self._boxes[backend_id])
 
-    def ended(self, now: int, tun: int, took: int) -> None:
+    def ended(self, now: int, tunnel_id: int, took: int) -> None:
         """Logs the end of a tunnel, with the time since it arrived."""
-        self._log_event("ended", "tunnel.ended", tunnel=tun, took=took)
+        self._log_event("ended", "tunnel.ended", tunnel=tunnel_id, took=took)
 
     def listed(self, now: int, form: ListForm, entries: list[Listed]) -> None:
         """Logs a change of the backend list with the number of entries, or its loss."""
@@ -81,6 +91,8 @@
         else:
             self._log_event("list", "list.changed", form=form.name.lower(), entries=len(entries))
 
-    def probed(self, now: int, ep: int, answered: bool, report: LoadReport) -> None:
+    def probed(self, now: int, backend_id: int, answered: bool, report: LoadReport) -> None:
         """Logs the end of a probe and the load that the backend reported."""
-        self._log_event("probe", "box.probed", backend=self._boxes[ep], answered=answered, asked=report.asked)
+        self._log_event(
+            "probe", "box.probed", backend=self._boxes[backend_id], answered=answered, asked=report.asked
+        )
--- a/cedarledge/net/handover.py
+++ b/cedarledge/net/handover.py
@@ -29,8 +29,8 @@
 from cedarledge.net.backends import Once
 from cedarledge.net.boxlist import BoxList
 from cedarledge.net.discovery import Watch
+from cedarledge.net.interfaces import Frontend
 from cedarledge.net.links import ConnectionContext
-from cedarledge.net.seams import Front
 from cedarledge.net.service import ServiceState, UnknownBackendError
 from cedarledge.net.timers import Timer
 from cedarledge.net.tunnels import Tunnels
@@ -267,7 +267,7 @@
         service: ServiceState,
         boxes: BoxList,
         tunnels: Tunnels,
-        listener: Front,
+        listener: Frontend,
         watching: Watch,
     ) -> None:
         """Uses sockets in `folder`; `name` is the relay's name, which both processes have."""
@@ -334,22 +334,22 @@
         logger.info("handover: goes on alone")
 
     def _import_state(self, state: HandoverState) -> None:
-        eps, shared_now = self.boxes.eps, time.monotonic_ns()
+        backend_ids, shared_now = self.boxes.backend_ids, time.monotonic_ns()
         own_offset = self.timers.now() - shared_now
         # The two processes' clocks differ if the wall clock was stepped between their starts.
         shift = 0 if state.clock_offset is None else own_offset - state.clock_offset
         if state.unix_offset is not None:
             self.boxes.start_times.follow_unix_offset(state.unix_offset, shared_now)
-        self.boxes.banned = {eps[name]: since + shift for name, since in state.banned.items()}
-        self.boxes.back = {eps[name]: at + shift for name, at in state.back.items()}
+        self.boxes.banned = {backend_ids[name]: since + shift for name, since in state.banned.items()}
+        self.boxes.back = {backend_ids[name]: at + shift for name, at in state.back.items()}
         self.boxes.take_in(ListForm.WHOLE, state.members)
         learned_state.import_state(
-            self.boxes.module.balancer, self.boxes.kinds, state.beliefs, self.timers.now()
+            self.boxes.policy_host.balancer, self.boxes.kinds, state.beliefs, self.timers.now()
         )
         self.watching.go_on_from(state.revision)
-        self.tunnels.ids_before = frozenset(state.ids)
-        self.tunnels.begun = True
-        self.links.lent = state.held
+        self.tunnels.predecessor_ids = frozenset(state.ids)
+        self.tunnels.saw_new_request = True
+        self.links.reserved = state.held
         if state.away:
             self.service.leave_service()
 
@@ -369,8 +369,8 @@
     def _abandon(self) -> None:
         before, self.predecessor = self.predecessor, None
         self.service.taking_over = False
-        self.links.lent = 0
-        self.tunnels.ids_before = frozenset()
+        self.links.reserved = 0
+        self.tunnels.predecessor_ids = frozenset()
         before.transport.abortConnection()
 
     def detach(self) -> None:
@@ -399,8 +399,8 @@
 
     def _set_lent(self, held: int) -> None:
         # A listener that is paused for lack of slots has to be told when the other process frees some.
-        self.links.lent = held
-        self.listener.came_free()
+        self.links.reserved = held
+        self.listener.slots_freed()
 
     def _takeover_requested(self, peer: PeerProcess, message: dict[str, Any]) -> None:
         if message["version"] != VERSION or message.get("name") != self.name:
@@ -416,27 +416,27 @@
             self.successor.transport.abortConnection()
         logger.info("handover: a new process asks; this one accepts no more connections")
         self.successor = peer
-        self.listener.hold_back()
+        self.listener.pause_accepting()
         # If this process was paused, the confirmation may have arrived and not been read yet.
         self._lease_timer = self.timers.after_reading(LEASE, self._lease_expired, peer)
-        names, shared_now = self.boxes.eps.names, time.monotonic_ns()
+        names, shared_now = self.boxes.backend_ids.names, time.monotonic_ns()
         state = HandoverState(
             shared_now + LEASE,
             self.watching.revision,
             list(self.boxes.listed.values()),
-            {names[ep]: since for ep, since in self.boxes.banned.items()},
-            {names[ep]: at for ep, at in self.boxes.back.items()},
-            self.listener.away,
+            {names[backend_id]: since for backend_id, since in self.boxes.banned.items()},
+            {names[backend_id]: at for backend_id, at in self.boxes.back.items()},
+            self.listener.out_of_service,
             sorted(self.tunnels.ids),
             self._descriptors_held(),
-            learned_state.export_state(self.boxes.module.balancer, self.boxes.kinds, self.timers.now()),
+            learned_state.export_state(self.boxes.policy_host.balancer, self.boxes.kinds, self.timers.now()),
             self.timers.now() - shared_now,
             self.boxes.start_times.unix_offset(shared_now),
         )
         peer.send(version=VERSION, estate=state._asdict())
 
     def _descriptors_held(self) -> int:
-        return len(os.listdir("/proc/self/fd")) + self.links.lent
+        return len(os.listdir("/proc/self/fd")) + self.links.reserved
 
     def _lease_expired(self, peer: PeerProcess) -> None:
         logger.warning("handover: the new process did not take over in time")
@@ -466,7 +466,7 @@
             logger.info("handover: the previous process has ended")
             self.predecessor = None
             self.service.taking_over = False
-            self.tunnels.ids_before = frozenset()
+            self.tunnels.predecessor_ids = frozenset()
             self._set_lent(0)
         elif peer is self.successor:
             # It died, or never took over: this process accepts what waits in the kernel's queue again.
@@ -474,7 +474,7 @@
             self.timers.cancel(self._lease_timer)
             self.successor = None
             self.service.replaced = False
-            self.listener.go_on()
+            self.listener.resume_accepting()
 
     # -- operators' calls --------------------------------------------------------------------------
 
--- a/cedarledge/net/listeners.py
+++ b/cedarledge/net/listeners.py
@@ -76,7 +76,7 @@
         self.port.numberAccepts = ACCEPTS_PER_TURN
         # A new connection that becomes a tunnel takes a second slot for its attempt, so more than one may
         # have to go.
-        while self.context.links.left + len(self.evicted) <= self.spare_slots and (
+        while self.context.links.free + len(self.evicted) <= self.spare_slots and (
             idle := self.answered or self.waiting
         ):
             link = next(iter(idle))
--- a/cedarledge/net/service.py
+++ b/cedarledge/net/service.py
@@ -6,8 +6,8 @@
 
 from cedarledge.net.backends import Backends
 from cedarledge.net.boxlist import BoxList
-from cedarledge.net.module import Module
-from cedarledge.net.seams import Front
+from cedarledge.net.interfaces import Frontend
+from cedarledge.net.policy_host import RelayPolicyHost
 from cedarledge.net.timers import Timer, Timers
 from cedarledge.net.tunnels import Tunnels
 from cedarledge.terms import MS
@@ -31,19 +31,19 @@
     def __init__(
         self,
         timers: Timers,
-        module: Module,
+        policy_host: RelayPolicyHost,
         boxes: BoxList,
         tunnels: Tunnels,
         backends: Backends,
-        front: Front,
+        frontend: Frontend,
     ) -> None:
         """Starts in service and not yet listening; the relay sets the flags as it starts and stops."""
         self.timers = timers
-        self.module = module
+        self.policy_host = policy_host
         self.boxes = boxes
         self.tunnels = tunnels
         self.backends = backends
-        self.front = front
+        self.frontend = frontend
         self.listening = False  # the clients' listener is open
         # Told to end; and a newer process of this relay accepts the connections.
         self.stopping = self.replaced = False
@@ -65,7 +65,7 @@
             return "a newer process serves"
         if not self.listening:
             return "the listener is not open yet"
-        if self.front.away and not self.taking_over:
+        if self.frontend.out_of_service and not self.taking_over:
             # While a process takes over it reports ready even out of service: the previous process is
             # stopped only once the new one is ready.
             return "out of service"
@@ -75,38 +75,38 @@
 
     def leave_service(self) -> None:
         """Tells the platform to send no more clients here and moves all open connections to other relays."""
-        if self.front.away:
+        if self.frontend.out_of_service:
             return
-        self.front.away = True
+        self.frontend.out_of_service = True
         logger.info("out of service: moving {} tunnels to other relays", self.tunnels.table.used)
         if not self.stopping:
-            self.module.tell(self.module.balancer.stopping, MOVE_ALL_WITHIN)
-            self._end_all_timer = self.timers.after_reading(END_ALL_AFTER, self.tunnels.end_all)
+            self.policy_host.call(self.policy_host.balancer.stopping, MOVE_ALL_WITHIN)
+            self._end_all_timer = self.timers.after_reading(END_ALL_AFTER, self.tunnels.close_all)
 
     def return_to_service(self) -> None:
         """Takes clients in again and keeps the connections that have not been moved yet."""
-        if not self.front.away:
+        if not self.frontend.out_of_service:
             return
-        self.front.away = False
+        self.frontend.out_of_service = False
         logger.info("in service again; {} tunnels are still open", self.tunnels.table.used)
         if not self.stopping:
             self.timers.cancel(self._end_all_timer)
-            self.module.tell(self.module.balancer.staying)
+            self.policy_host.call(self.policy_host.balancer.staying)
 
     def take_backend_offline(self, name: str) -> None:
         """Sends nothing new to a backend until it is brought online; raises UnknownBackendError."""
-        ep = self._backend_id_of(name)
+        backend_id = self._backend_id_of(name)
         # The list changes first, so that a request that waits for a probe of this backend goes to another
         # one.
-        self.boxes.ban(ep, self.timers.now())
-        self.backends.no_probes(ep)
+        self.boxes.ban(backend_id, self.timers.now())
+        self.backends.no_probes(backend_id)
 
     def bring_backend_online(self, name: str) -> None:
         """Lets a backend that was taken offline be chosen again; raises UnknownBackendError."""
         self.boxes.put_back(self._backend_id_of(name), self.timers.now())
 
     def _backend_id_of(self, name: str) -> int:
-        ep = self.boxes.known(name)
-        if ep is None:
+        backend_id = self.boxes.known(name)
+        if backend_id is None:
             raise UnknownBackendError(name)
-        return ep
+        return backend_id
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,15 +24,15 @@
     Backend,
     Client,
     Discovery,
-    Program,
-    fleet,
+    RelayProgram,
     free_port,
+    host_with_backends,
     http,
-    listed,
-    paused,
+    is_paused,
+    learn_loads,
+    list_entry,
     reset,
-    teach,
-    until,
+    wait_until,
 )
 from pytest import MonkeyPatch, approx, mark
 from test_control import Caller, call, free_address
@@ -46,7 +46,7 @@
 from cedarledge.net.links import LINGER, ConnectionContext, Link
 from cedarledge.net.rate_limited_log import RateLimitedLog
 from cedarledge.net.service import ServiceState
-from cedarledge.net.slots import Slots
+from cedarledge.net.slots import SlotTable
 from cedarledge.net.timers import Timers
 from cedarledge.terms import ListForm, Outcome
 
@@ -70,7 +70,7 @@
 def test_a_connection_that_asks_for_more_than_a_core_is_served(tmp_path: Path) -> None:
     """A refusal would lose such a connection for good, if it was open before this relay started."""
     backend = Backend("a")
-    with Program(tmp_path, [backend]) as relay:
+    with RelayProgram(tmp_path, [backend]) as relay:
         for names in ("d=4294967,h=1812345.7,at=a", "d=1500,h=1812345.7", "d=1500,h=1e300"):
             client = relay.client()
             assert client.open(names="c=feed," + names) == "UP r" and client.say("M 1") == "M 1"
@@ -80,7 +80,7 @@
 # -- the list of backends --------------------------------------------------------------------------
 
 
-def connections_at(relay: Program, backend: Backend) -> int:
+def connections_at(relay: RelayProgram, backend: Backend) -> int:
     """Opens a dozen connections; returns how many of them the backend gets."""
     before = len(backend.heads)
     clients = [
@@ -104,12 +104,12 @@
     """
     backends = [Backend("a"), Backend("b")]
     long_wait = settings | {"safety": settings["safety"] | {"ask_every": 10_000_000}}
-    with Program(tmp_path, backends, settings=long_wait) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, backends, settings=long_wait) as relay:
+        wait_until(lambda: relay.discovery.calls)
         relay.discovery.fall_silent(part)
         silent = time.monotonic()
         relay.discovery.tell(backends[0].entry("draining"))
-        until(lambda: relay.discovery.answered, 8)
+        wait_until(lambda: relay.discovery.answered, 8)
         assert relay.discovery.answered[0] - silent < 5.3, "the drain has to take effect within 6 s"
         assert not connections_at(relay, backends[0])
         assert "the watch is silent" in relay.log.read_text()
@@ -118,13 +118,13 @@
 def test_a_list_unread_during_a_pause_of_the_process_takes_effect(tmp_path: Path) -> None:
     """After the pause the call's time limit was handled first, and the unread answer was discarded."""
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=PATIENT) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, backends, settings=PATIENT) as relay:
+        wait_until(lambda: relay.discovery.calls)
         relay.pause()
         relay.discovery.tell(backends[0].entry("draining"))
-        until(lambda: relay.discovery.answered)
+        wait_until(lambda: relay.discovery.answered)
         time.sleep(3.3)  # past the longest wait of 2 s plus the time that a call may take
-        relay.go_on()
+        relay.resume()
         assert not connections_at(relay, backends[0])
         assert len(relay.discovery.calls) == 2, "and the watch continues"
 
@@ -134,13 +134,13 @@
 ) -> None:
     """What the discovery agent knows has to take effect once it is back, with or without an open watch."""
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=PUSHED) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, backends, settings=PUSHED) as relay:
+        wait_until(lambda: relay.discovery.calls)
         relay.discovery.go_down()
-        until(lambda: len(relay.discovery.calls) > 4)
+        wait_until(lambda: len(relay.discovery.calls) > 4)
         relay.discovery.tell(backends[0].entry("draining"))
         relay.discovery.down, back = False, time.monotonic()
-        until(lambda: relay.discovery.answered)
+        wait_until(lambda: relay.discovery.answered)
         assert relay.discovery.answered[0] - back < 0.25
         time.sleep(0.05)
         assert not connections_at(relay, backends[0])
@@ -149,17 +149,17 @@
 
 def test_a_watch_that_falls_silent_right_after_an_outage_is_reopened_too(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=PATIENT) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, backends, settings=PATIENT) as relay:
+        wait_until(lambda: relay.discovery.calls)
         relay.discovery.go_down()
-        until(lambda: "WARNING discovery" in relay.log.read_text())
+        wait_until(lambda: "WARNING discovery" in relay.log.read_text())
         relay.discovery.down = False
         calls = len(relay.discovery.calls)
-        until(lambda: len(relay.discovery.calls) > calls)
+        wait_until(lambda: len(relay.discovery.calls) > calls)
         relay.discovery.fall_silent()
         silent = time.monotonic()
         relay.discovery.tell(backends[0].entry("draining"))
-        until(lambda: relay.discovery.answered)
+        wait_until(lambda: relay.discovery.answered)
         assert relay.discovery.answered[0] - silent < 3.5  # waits are at most 2 s here
         assert not connections_at(relay, backends[0])
 
@@ -167,7 +167,7 @@
 def test_lines_answered_during_a_pause_of_the_process_move_no_client(tmp_path: Path) -> None:
     """Each tunnel with an unanswered line was taken for silent after the pause, and all were moved."""
     backend = Backend("a")
-    with Program(tmp_path, [backend], settings=PATIENT) as relay:
+    with RelayProgram(tmp_path, [backend], settings=PATIENT) as relay:
         clients = [relay.client() for _ in range(5)]
         assert {client.open(str(number)) for number, client in enumerate(clients)} == {"UP r"}
         assert [client.say("M 1") for client in clients] == ["M 1"] * 5
@@ -179,19 +179,19 @@
         for link in backend.opened:
             link.sendall(b"M 2\r\n")
         time.sleep(3.2)
-        relay.go_on()
-        assert [client.hear() for client in clients] == ["M 2"] * 5
+        relay.resume()
+        assert [client.read_line() for client in clients] == ["M 2"] * 5
         backend.deaf = False
         assert [client.say("M 3") for client in clients] == ["M 3"] * 5
 
 
 def test_a_failing_address_is_logged_even_if_the_one_before_had_failed_too(tmp_path: Path) -> None:
-    with Program(tmp_path, [Backend("a")], settings=PUSHED) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, [Backend("a")], settings=PUSHED) as relay:
+        wait_until(lambda: relay.discovery.calls)
         relay.discovery.go_down()
-        until(lambda: relay.log.read_text().count("WARNING discovery") == 1)
+        wait_until(lambda: relay.log.read_text().count("WARNING discovery") == 1)
         relay.reload(discovery=f"127.0.0.1:{free_port()}")
-        until(lambda: relay.log.read_text().count("WARNING discovery") == 2)
+        wait_until(lambda: relay.log.read_text().count("WARNING discovery") == 2)
 
 
 class ChunkedDiscovery(Discovery):
@@ -209,12 +209,12 @@
 
 def test_an_indented_list_in_small_segments_takes_effect(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=PATIENT) as relay:
+    with RelayProgram(tmp_path, backends, settings=PATIENT) as relay:
         pieces = ChunkedDiscovery([backend.entry() for backend in backends])
         relay.reload(discovery=pieces.address)
-        until(lambda: len(pieces.calls) == 2)
+        wait_until(lambda: len(pieces.calls) == 2)
         pieces.tell(backends[0].entry("draining"))
-        until(lambda: len(pieces.calls) == 3)
+        wait_until(lambda: len(pieces.calls) == 3)
         assert not connections_at(relay, backends[0])
 
 
@@ -243,13 +243,13 @@
 @mark.parametrize("settings", [PATIENT, PUSHED], ids=["asked", "pushed"])
 def test_an_answer_right_before_a_reset_takes_effect(settings: dict, tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=settings) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, backends, settings=settings) as relay:
+        wait_until(lambda: relay.discovery.calls)
         resetting = ResettingDiscovery([backend.entry() for backend in backends])
         relay.reload(discovery=resetting.address)
-        until(lambda: len(resetting.answered) >= 1 and len(resetting.calls) >= 2)
+        wait_until(lambda: len(resetting.answered) >= 1 and len(resetting.calls) >= 2)
         resetting.tell(backends[0].entry("draining"))
-        until(lambda: len(resetting.answered) >= 2)
+        wait_until(lambda: len(resetting.answered) >= 2)
         time.sleep(0.05)
         assert not connections_at(relay, backends[0])
 
@@ -260,18 +260,18 @@
     settings: dict, trouble: str, tmp_path: Path
 ) -> None:
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=settings) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, backends, settings=settings) as relay:
+        wait_until(lambda: relay.discovery.calls)
         if trouble == "down":
             relay.discovery.go_down()
-            until(lambda: "WARNING discovery" in relay.log.read_text())
+            wait_until(lambda: "WARNING discovery" in relay.log.read_text())
         else:
             relay.discovery.fall_silent(CHANGE[:-9] if "body" in trouble else b"")
         relay.discovery.tell(backends[1].entry("draining"))
         other = Discovery([backends[0].entry("draining"), backends[1].entry()])
         time.sleep(0.2)
         relay.reload(discovery=other.address)
-        until(lambda: len(other.calls) == 2, 1)
+        wait_until(lambda: len(other.calls) == 2, 1)
         assert not connections_at(relay, backends[0])
         # Counted from here on: before the signal a pushed list is requested ten times a second.
         calls = len(relay.discovery.calls)
@@ -287,11 +287,11 @@
     """A silent call for the whole list was treated like a failed one, and repeated 6 to 10 s after SIGHUP."""
     backends = [Backend("a"), Backend("b")]
     long_wait = settings | {"safety": settings["safety"] | {"ask_every": 10_000_000}}
-    with Program(tmp_path, backends, settings=long_wait) as relay:
-        until(lambda: relay.discovery.calls)
+    with RelayProgram(tmp_path, backends, settings=long_wait) as relay:
+        wait_until(lambda: relay.discovery.calls)
         other = SilentDiscovery([backends[0].entry("draining"), backends[1].entry()])
         relay.reload(discovery=other.address)
-        until(lambda: len(other.calls) == 3, 12)  # the unanswered call, the whole list, and the next call
+        wait_until(lambda: len(other.calls) == 3, 12)  # the unanswered call, the whole list, the next call
         assert other.calls[1][0] - other.calls[0][0] < 4.5, "the drain has to take effect within 6 s"
         assert not connections_at(relay, backends[0])
 
@@ -306,24 +306,24 @@
 
 def test_a_hanging_connect_to_discovery_times_out_and_is_repeated(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=PATIENT) as relay, full_queue() as full:
+    with RelayProgram(tmp_path, backends, settings=PATIENT) as relay, full_queue() as full:
         relay.reload(discovery="{}:{}".format(*full.getsockname()))
-        until(lambda: "discovery: no answer in time" in relay.log.read_text(), 4)
+        wait_until(lambda: "discovery: no answer in time" in relay.log.read_text(), 4)
         assert relay.client().open() == "UP r", "with the list that it has"
         relay.reload()
         relay.discovery.members = [backends[0].entry("draining"), backends[1].entry()]
-        until(lambda: len(relay.discovery.calls) == 3)  # the first call, the whole list, and the next call
+        wait_until(lambda: len(relay.discovery.calls) == 3)  # the first call, the whole list, the next call
         assert not connections_at(relay, backends[0])
 
 
 def test_a_backend_missing_from_a_whole_list_keeps_its_tunnels_and_gets_no_new_ones(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=PATIENT) as relay:
+    with RelayProgram(tmp_path, backends, settings=PATIENT) as relay:
         clients = [relay.client() for _ in range(8)]
         assert {client.open(str(number)) for number, client in enumerate(clients)} == {"UP r"}
         other = Discovery([backends[1].entry()])
         relay.reload(discovery=other.address)
-        until(lambda: len(other.calls) == 2, 2)
+        wait_until(lambda: len(other.calls) == 2, 2)
         assert backends[0].opened and not connections_at(relay, backends[0])
         assert [client.say("M 1") for client in clients] == ["M 1"] * 8
 
@@ -331,14 +331,14 @@
 # -- stop and signals ------------------------------------------------------------------------------
 
 
-class BlockedRelay(Program):
+class BlockedRelay(RelayProgram):
     """A relay that blocks in its start, reading its configuration from a pipe, until the test writes that."""
 
     def start(self) -> None:
         self.path.unlink(missing_ok=True)
         os.mkfifo(self.path)
         super().start()
-        until(self._reads)
+        wait_until(self._reads)
 
     def _reads(self) -> bool:
         with suppress(OSError):  # no reader yet
@@ -357,8 +357,8 @@
         os.close(self.pipe)
 
 
-def exit_code(relay: Program, within: float = 6) -> int:
-    until(lambda: relay.process.poll() is not None, within)
+def exit_code(relay: RelayProgram, within: float = 6) -> int:
+    wait_until(lambda: relay.process.poll() is not None, within)
     return relay.process.returncode
 
 
@@ -383,8 +383,8 @@
         relay.path.write_text(json.dumps(relay.told))
         os.write(relay.pipe, json.dumps(old).encode())
         os.close(relay.pipe)
-        until(relay.answers)
-        until(lambda: other.calls)
+        wait_until(relay.answers)
+        wait_until(lambda: other.calls)
         assert relay.client().open() == "UP r"
 
 
@@ -395,7 +395,7 @@
     signals: tuple[signal.Signals, ...], tmp_path: Path
 ) -> None:
     """Signals come until the interpreter's shutdown, which restores their default actions."""
-    with Program(tmp_path, [Backend("a"), Backend("b")]) as relay:
+    with RelayProgram(tmp_path, [Backend("a"), Backend("b")]) as relay:
         client = relay.client()
         assert client.open() == "UP r"
         start = time.monotonic()
@@ -403,46 +403,46 @@
             for number in signals:
                 relay.process.send_signal(number)
             time.sleep(0.001)
-        assert relay.process.returncode == 0 and client.hear() == "MOVE"
+        assert relay.process.returncode == 0 and client.read_line() == "MOVE"
 
 
 def test_requests_that_arrive_while_a_stopping_relay_is_paused_are_answered(tmp_path: Path) -> None:
     """After the pause no connection was open and the second for new ones was over: the relay reset them."""
-    with Program(tmp_path, [Backend("a"), Backend("b")]) as relay:
-        relay.ask_to_stop()
-        until(lambda: "stops within" in relay.log.read_text())
+    with RelayProgram(tmp_path, [Backend("a"), Backend("b")]) as relay:
+        relay.terminate()
+        wait_until(lambda: "stops within" in relay.log.read_text())
         relay.pause()
         client = relay.client()
         client.link.sendall(b"OPEN 5 k c=feed,d=1500\r\n")
         time.sleep(1.2)
-        relay.go_on()
-        assert client.hear() == "BUSY", "too little time is left for another relay to serve it"
+        relay.resume()
+        assert client.read_line() == "BUSY", "too little time is left for another relay to serve it"
         assert exit_code(relay) == 0
 
 
 def test_a_request_unread_during_a_pause_of_the_process_is_answered(tmp_path: Path) -> None:
-    with Program(tmp_path, [Backend("a")]) as relay:
+    with RelayProgram(tmp_path, [Backend("a")]) as relay:
         client, half = relay.client(), relay.client()
         half.link.sendall(b"OPEN 6 k c=feed")
-        until(lambda: relay.answers())  # then both are accepted, and the partial line is read
+        wait_until(lambda: relay.answers())  # then both are accepted, and the partial line is read
         relay.pause()
         client.link.sendall(b"OPEN 5 k c=feed,d=3000\r\n")
         half.link.sendall(b",d=3000\r\n")
         time.sleep(2.7)
-        relay.go_on()
-        assert [client.hear(), half.hear()] == ["UP r"] * 2
+        relay.resume()
+        assert [client.read_line(), half.read_line()] == ["UP r"] * 2
 
 
 def test_the_stop_answers_partial_requests_and_hanging_attempts(tmp_path: Path) -> None:
     backends = [Backend("a", "hang"), Backend("b", "hang")]
-    with Program(tmp_path, backends) as relay:
+    with RelayProgram(tmp_path, backends) as relay:
         hung, once, pieces, quiet = (relay.client() for _ in range(4))
         hung.link.sendall(b"OPEN 1 k c=feed,d=1500\r\n")
         once.link.sendall(b"OPEN 2 k c=bill,d=1500\r\n")
         pieces.link.sendall(b"OPEN 3 k c=feed,")
-        until(lambda: sum(len(backend.heads) for backend in backends) >= 2)
-        relay.ask_to_stop()
-        until(lambda: "stops within" in relay.log.read_text())
+        wait_until(lambda: sum(len(backend.heads) for backend in backends) >= 2)
+        relay.terminate()
+        wait_until(lambda: "stops within" in relay.log.read_text())
         late = relay.client()
         late.link.sendall(b"OPEN 4 k c=feed,d=1")
         for part in (b"d=15", b"00\r", b"\n"):
@@ -450,8 +450,8 @@
             pieces.link.sendall(part)
         late.link.sendall(b"500\r\n")
         for client in (hung, once, pieces, late):
-            assert client.hear() in ("ERR", "BUSY") and client.hear() == ""
-        assert quiet.hear() in ("", "reset"), "it has sent no request"
+            assert client.read_line() in ("ERR", "BUSY") and client.read_line() == ""
+        assert quiet.read_line() in ("", "reset"), "it has sent no request"
         assert exit_code(relay) == 0
         assert sum(head.startswith("OPEN 2 ") for backend in backends for head in backend.heads) == 1
 
@@ -459,16 +459,16 @@
 def test_a_backends_answer_unread_at_the_final_sweep_reaches_its_client(tmp_path: Path) -> None:
     """After the pause the final sweep ran first, and sent ERR although an UP was still unread."""
     backend = Backend("a", "hang")
-    with Program(tmp_path, [backend]) as relay:
+    with RelayProgram(tmp_path, [backend]) as relay:
         client = send_request(relay, "c=bill,d=3000")
-        until(lambda: backend.heads)
-        relay.ask_to_stop()
-        until(lambda: "stops within" in relay.log.read_text())
+        wait_until(lambda: backend.heads)
+        relay.terminate()
+        wait_until(lambda: "stops within" in relay.log.read_text())
         relay.pause()
         backend.last.sendall(b"UP r\r\n")
         time.sleep(2)  # past all time limits of the stop
-        relay.go_on()
-        assert client.hear() == "UP r" and client.hear() == "MOVE"
+        relay.resume()
+        assert client.read_line() == "UP r" and client.read_line() == "MOVE"
         assert exit_code(relay) == 0
 
 
@@ -488,15 +488,15 @@
     try:
         relay.until_paused()
         relay.reload(discovery=other.address)
-        relay.go_on()
-        until(lambda: other.calls)
+        relay.resume()
+        wait_until(lambda: other.calls)
         assert relay.client().open() == "UP r"
-        relay.ask_to_stop()
+        relay.terminate()
         assert exit_code(relay) == 0
         relay.start()
         relay.until_paused()
-        relay.ask_to_stop()
-        relay.go_on()
+        relay.terminate()
+        relay.resume()
         assert exit_code(relay) == 0
     finally:
         relay.__exit__()
@@ -505,24 +505,24 @@
 def test_a_peer_that_does_not_close_after_its_answer_does_not_delay_the_stop(tmp_path: Path) -> None:
     """A peer answered at the last moment had a second to close, but the process is killed 0.4 s later."""
     backends = [Backend("a", "hang"), Backend("b", "hang")]
-    with Program(tmp_path, backends) as relay:
+    with RelayProgram(tmp_path, backends) as relay:
         client = send_request(relay)
-        until(lambda: any(backend.heads for backend in backends))
-        relay.ask_to_stop()
+        wait_until(lambda: any(backend.heads for backend in backends))
+        relay.terminate()
         start = time.monotonic()
-        assert client.hear() in ("ERR", "BUSY") and client.hear() == ""
+        assert client.read_line() in ("ERR", "BUSY") and client.read_line() == ""
         assert exit_code(relay) == 0
         assert time.monotonic() - start < 2.5, "1.5 s plus a margin"
 
 
 def test_sigterm_while_out_of_service_moves_clients_and_stops(tmp_path: Path) -> None:
     control = free_address()
-    with Program(tmp_path, [Backend("a")], control=control) as relay:
+    with RelayProgram(tmp_path, [Backend("a")], control=control) as relay:
         clients = [relay.client() for _ in range(6)]
         assert {client.open(str(number)) for number, client in enumerate(clients)} == {"UP r"}
         assert call(control, "POST", "/control/out-of-service") == 200
-        relay.ask_to_stop()
-        assert [client.hear() for client in clients] == ["MOVE"] * 6
+        relay.terminate()
+        assert [client.read_line() for client in clients] == ["MOVE"] * 6
         assert exit_code(relay, 3) == 0
 
 
@@ -545,7 +545,7 @@
 
     timers = Timers(clock, now)
     link = Link(
-        ConnectionContext(clock, now, timers, Pool(9, 1), Slots(1), RateLimitedLog(timers), Invariants())
+        ConnectionContext(clock, now, timers, Pool(9, 1), SlotTable(1), RateLimitedLog(timers), Invariants())
     )
     link.transport = RecordingTransport()
     link.connectionMade()
@@ -568,7 +568,7 @@
     ]
 
 
-class SelfStoppingRelay(Program):
+class SelfStoppingRelay(RelayProgram):
     def command(self) -> list[str]:
         return stopping_command(" ".join(self.arguments))
 
@@ -580,16 +580,16 @@
         client.close()
 
 
-def send_request(relay: Program, names: str = "c=feed,d=3000") -> Client:
+def send_request(relay: RelayProgram, names: str = "c=feed,d=3000") -> Client:
     client = relay.client()
     client.id = f"{time.monotonic_ns():x}"
     client.link.sendall(f"OPEN {client.id} k {names}\r\n".encode())
     return client
 
 
-def descriptor_count(relay: Program) -> int:
+def descriptor_count(relay: RelayProgram) -> int:
     """Counts the descriptors once the connection to discovery is open; its first call has a random delay."""
-    until(lambda: relay.discovery.calls)
+    wait_until(lambda: relay.discovery.calls)
     return len(os.listdir(f"/proc/{relay.process.pid}/fd"))
 
 
@@ -597,8 +597,8 @@
 @mark.parametrize(
     "place",
     [
-        "tunnels Tunnels arrived before",
-        "tunnels Tunnels arrived after",
+        "tunnels Tunnels request_arrived before",
+        "tunnels Tunnels request_arrived after",
         "backends SetupLink connect after",
         "backends SetupLink came_up before",
         "backends SetupLink came_up after",
@@ -617,8 +617,8 @@
         sent = len(backend.heads)  # before the client left
         leave(client, abrupt)
         time.sleep(0.35)
-        relay.go_on()
-        until(lambda: descriptor_count(relay) <= before + 1)  # one kept connection for probes
+        relay.resume()
+        wait_until(lambda: descriptor_count(relay) <= before + 1)  # one kept connection for probes
         assert len(backend.heads) == sent
         assert relay.client().open() == "UP r"
 
@@ -637,15 +637,15 @@
         if leaves:
             client.link.shutdown(socket.SHUT_WR)
         time.sleep(0.35)
-        relay.go_on()
-        assert client.hear() == "ERR" and not backend.heads
+        relay.resume()
+        assert client.read_line() == "ERR" and not backend.heads
         assert relay.client().open() == "UP r"
 
 
 def test_none_of_many_clients_that_leave_is_sent_to_a_backend_later(tmp_path: Path) -> None:
     """Most leave before their request is read, by FIN or reset, in one packet with it or after it."""
     backends = [Backend(name) for name in "abc"]
-    with Program(tmp_path, backends, settings=UNHURRIED) as relay:
+    with RelayProgram(tmp_path, backends, settings=UNHURRIED) as relay:
         assert relay.client().open() == "UP r"
         before = descriptor_count(relay)
         for number in range(40):
@@ -659,10 +659,10 @@
             for place in range(0, 10, 2):
                 leave(gone[place], abrupt=place % 4 == 0)
             time.sleep(0.01)
-            relay.go_on()
+            relay.resume()
             if number % 8 == 7:
                 assert relay.client().open() == "UP r"
-        until(lambda: descriptor_count(relay) <= before + 2 + 5 * 2)
+        wait_until(lambda: descriptor_count(relay) <= before + 2 + 5 * 2)
         heads = sum(len(backend.heads) for backend in backends)
         assert heads == 6, f"{heads - 6} of 400 were sent to a backend"
 
@@ -683,11 +683,11 @@
 
 def test_a_client_that_leaves_during_a_probe_is_not_sent_to_a_backend(tmp_path: Path) -> None:
     backend = WithheldProbes("a")
-    with Program(tmp_path, [backend], settings=UNHURRIED) as relay:
+    with RelayProgram(tmp_path, [backend], settings=UNHURRIED) as relay:
         client = send_request(relay)
         assert backend.probed.wait(5)
         leave(client, abrupt=False)
-        until(relay.answers)  # then the client's FIN has been read
+        wait_until(relay.answers)  # then the client's FIN has been read
         backend.allowed.set()
         assert relay.client().open() == "UP r"
         time.sleep(0.35)
@@ -696,11 +696,11 @@
 
 def test_a_client_that_leaves_during_a_hanging_attempt_gets_no_further_attempt(tmp_path: Path) -> None:
     backends = [Backend("a", "hang"), Backend("b", "hang")]
-    with Program(tmp_path, backends, settings=UNHURRIED) as relay:
+    with RelayProgram(tmp_path, backends, settings=UNHURRIED) as relay:
         for abrupt in (False, True):
             before = sum(len(backend.heads) for backend in backends)
             client = send_request(relay)
-            until(lambda before=before: sum(len(backend.heads) for backend in backends) > before)
+            wait_until(lambda before=before: sum(len(backend.heads) for backend in backends) > before)
             leave(client, abrupt)
             time.sleep(1)  # past the limit of the attempt that hangs
             assert sum(len(backend.heads) for backend in backends) == before + 1
@@ -744,7 +744,7 @@
     backend = Backend("a")
     with full_queue() as late:
         backend.address = "{}:{}".format(*late.getsockname())
-        with Program(tmp_path, [backend], settings=settings) as relay:
+        with RelayProgram(tmp_path, [backend], settings=settings) as relay:
             client = send_request(relay)
             time.sleep(0.2)
             if leaves:
@@ -755,30 +755,30 @@
 def test_clients_that_leave_during_a_stop_or_hot_restart_are_not_sent_to_a_backend(tmp_path: Path) -> None:
     backend = Backend("a")
     with StoppingProcesses(tmp_path, [backend], "", "clients Listener open before") as relay:
-        until(relay.ready)
+        wait_until(relay.ready)
         relay.start()
         relay.until_paused()
         for abrupt in (False, True):
             leave(send_request(relay), abrupt)  # in the queue that both processes share
         time.sleep(0.35)
-        relay.go_on()
-        until(relay.ready)
+        relay.resume()
+        wait_until(relay.ready)
         relay.processes[0].terminate()
         assert relay.processes[0].wait(timeout=5) == 0
         relay.process.terminate()
-        until(lambda: relay.log.read_text().count("stops within") == 2)
+        wait_until(lambda: relay.log.read_text().count("stops within") == 2)
         relay.pause()
         for abrupt in (False, True):
             leave(send_request(relay), abrupt)
         time.sleep(0.35)
-        relay.go_on()
+        relay.resume()
         assert relay.process.wait(timeout=5) == 0
         assert not backend.heads
 
 
 def test_moved_clients_that_come_again_and_leave_are_not_sent_to_a_backend(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
-    with Program(tmp_path, backends, settings=UNHURRIED) as relay:
+    with RelayProgram(tmp_path, backends, settings=UNHURRIED) as relay:
         clients = [relay.client() for _ in range(60)]
         assert {client.open(str(number)) for number, client in enumerate(clients)} == {"UP r"}
         relay.discovery.tell(backends[0].entry("draining"))
@@ -789,13 +789,13 @@
         for client in clients:
             client.link.settimeout(0.01)
             with suppress(TimeoutError):
-                if client.hear() == "MOVE":
+                if client.read_line() == "MOVE":
                     moved.append(send_request(relay))
         assert len(moved) > 5
         for number, client in enumerate(moved):
             leave(client, abrupt=number % 2 > 0)
         time.sleep(0.35)
-        relay.go_on()
+        relay.resume()
         assert relay.client().open() == "UP r"
         time.sleep(0.5)
         assert sum(len(backend.heads) for backend in backends) == heads + 1
@@ -803,30 +803,30 @@
 
 def test_a_probe_whose_client_has_left_does_not_mark_the_backend() -> None:
     """The end of a later probe counted the backend as one that did not answer in time."""
-    ledger = fleet(2, cells=1)
-    ledger.answers = False
-    ledger.run(4 * SECOND)
-    gone = ledger.arrive()
-    seen = ledger.balancer.state.waiting[gone]
-    ledger.balancer.client_gone(ledger.now, gone)
-    ledger.cases[gone].answered = True
-    ledger.run(SECOND)
-    assert not seen.busy_until and not ledger.balancer.state.waiting and not ledger.balancer.state.connections
+    host = host_with_backends(2, cells=1)
+    host.answers = False
+    host.run(4 * SECOND)
+    gone = host.arrive()
+    seen = host.balancer.state.waiting[gone]
+    host.balancer.client_gone(host.now, gone)
+    host.requests[gone].answered = True
+    host.run(SECOND)
+    assert not seen.busy_until and not host.balancer.state.waiting and not host.balancer.state.connections
 
 
 def test_a_request_that_was_never_sent_uses_no_slow_start_budget() -> None:
-    ledger = fleet(3, cells=1)
-    teach(ledger)
-    ledger.tell(ListForm.CHANGES, listed(0, cells=1, started=START))
-    cold = ledger.balancer.state.backends[0]
-    ledger.run(3 * SECOND)
+    host = host_with_backends(3, cells=1)
+    learn_loads(host)
+    host.tell(ListForm.CHANGES, list_entry(0, cells=1, started=START))
+    cold = host.balancer.state.backends[0]
+    host.run(3 * SECOND)
     cold.tokens = 1.5
-    while not ledger.sends or ledger.sends[-1][2] != 0:
-        ledger.arrive(hint=100.0)
-    tun, left = ledger.sends[-1][1], cold.tokens
-    ledger.balancer.client_gone(ledger.now, tun)
-    ledger.cases[tun].answered = True
-    ledger.end(tun, Outcome.NOT_SENT)
+    while not host.sends or host.sends[-1][2] != 0:
+        host.arrive(hint=100.0)
+    tun, left = host.sends[-1][1], cold.tokens
+    host.balancer.client_gone(host.now, tun)
+    host.requests[tun].answered = True
+    host.end(tun, Outcome.NOT_SENT)
     assert cold.tokens == approx(left + 1) and not cold.open and not cold.pending
 
 
@@ -860,7 +860,7 @@
     """The backend was taken for one that does not answer, and got no new connections for two seconds."""
     monkeypatch.setenv("LOGURU_LEVEL", "DEBUG")
     backend = ClosingBackend("a", abrupt)
-    with Program(tmp_path, [backend]) as relay:
+    with RelayProgram(tmp_path, [backend]) as relay:
         for number in range(3):
             # A backend whose last report is older than this is probed before it is chosen.
             time.sleep(2.1)
@@ -868,7 +868,7 @@
         assert backend.closed and "probe of a: False" not in relay.log.read_text()
         backend.socket.shutdown(2)
         backend.socket.close()
-        until(lambda: "probe of a: False" in relay.log.read_text())
+        wait_until(lambda: "probe of a: False" in relay.log.read_text())
 
 
 class EndlessBackend(Backend):
@@ -889,7 +889,7 @@
         self.heads += [line.decode().strip() for line in iter(lines.readline, b"")]
 
 
-def pages(relay: Program) -> int:
+def pages(relay: RelayProgram) -> int:
     return int(Path(f"/proc/{relay.process.pid}/statm").read_text().split()[1])
 
 
@@ -898,7 +898,7 @@
     kind: type[Backend], tmp_path: Path
 ) -> None:
     bad, good = kind("a"), Backend("b")
-    with Program(tmp_path, [bad, good], settings=UNHURRIED) as relay:
+    with RelayProgram(tmp_path, [bad, good], settings=UNHURRIED) as relay:
         assert relay.client().open(names="c=feed,d=3000") == "UP r"
         descriptors, before = descriptor_count(relay), pages(relay)
         for number in range(60):
@@ -912,7 +912,7 @@
             assert bad.heads, "it got an attempt"
         for client in clients:
             client.close()
-        until(
+        wait_until(
             lambda: descriptor_count(relay) <= descriptors + 1
         )  # one kept connection for probes of the other backend
         assert pages(relay) - before < 8 << 8, "8 MB in pages of 4 KiB"
@@ -935,19 +935,21 @@
 }
 
 
-def late_answer(relay: Program, answer: str, name: str, meanwhile: str = "") -> tuple[Client, list[Backend]]:
+def late_answer(
+    relay: RelayProgram, answer: str, name: str, meanwhile: str = ""
+) -> tuple[Client, list[Backend]]:
     """Returns the client, the backend that got its request, and the other one; the relay runs again."""
-    until(lambda: relay.discovery.calls)
+    wait_until(lambda: relay.discovery.calls)
     client = send_request(relay, f"c={name},d=3000")
     relay.until_paused()
-    until(lambda: any(backend.heads for backend in relay.backends))
+    wait_until(lambda: any(backend.heads for backend in relay.backends))
     first, other = sorted(relay.backends, key=lambda backend: not backend.heads)
     other.modes = ["UP r"]
     if answer == "reset":
         # The backend's thread is reading: shut down for reading it closes the socket, which sends a reset.
         first.last.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         first.last.shutdown(socket.SHUT_RD)
-        until(lambda: first.ends)
+        wait_until(lambda: first.ends)
     else:
         first.last.sendall(b"".join(part.encode() + b"\r\n" for part in answer.split("|")))
     if meanwhile == "drains":
@@ -955,7 +957,7 @@
     elif meanwhile:
         leave(client, abrupt=meanwhile == "resets")
     time.sleep(0.8)  # past the attempt's time-out, within the client's deadline
-    relay.go_on()
+    relay.resume()
     return client, [first, other]
 
 
@@ -970,7 +972,7 @@
     ) as relay:
         client, (first, other) = late_answer(relay, answer, name)
         again = name in LATE_ANSWERS[answer]
-        assert client.hear() == ("UP late" if answer.startswith("UP") else "UP r" if again else "ERR")
+        assert client.read_line() == ("UP late" if answer.startswith("UP") else "UP r" if again else "ERR")
         assert (len(first.heads), len(other.heads)) == (1, again)
         if answer.startswith("UP") or again:
             assert client.say("M 1") == "M 1", "and no further data of the first backend"
@@ -986,8 +988,8 @@
     ) as relay:
         client, (first, other) = late_answer(relay, answer, "feed", meanwhile)
         if meanwhile == "drains":
-            assert client.hear() in ("BUSY", "ERR") and client.hear() == ""
-        until(lambda: relay.answers())
+            assert client.read_line() in ("BUSY", "ERR") and client.read_line() == ""
+        wait_until(lambda: relay.answers())
         time.sleep(0.3)
         assert not other.heads
         # The request is repeatable and no other backend is left: the first one may be attempted again.
@@ -1002,9 +1004,9 @@
     backend = Backend("a")
     with full_queue() as late:
         backend.address = "{}:{}".format(*late.getsockname())
-        with Program(tmp_path, [backend], settings=settings) as relay:
+        with RelayProgram(tmp_path, [backend], settings=settings) as relay:
             client, start = send_request(relay, f"c={name},d=600"), time.monotonic()
-            assert client.hear() == "BUSY" and client.hear() == "", "the request never ran"
+            assert client.read_line() == "BUSY" and client.read_line() == "", "the request never ran"
             assert time.monotonic() - start < 1, "before the connect could succeed"
             assert not first_data(late)
 
@@ -1031,7 +1033,7 @@
     living = [process for process in relay.processes if process.poll() is None]
     for process in living:
         process.terminate()
-    assert [client.hear() for client in clients] == ["MOVE"] * 4
+    assert [client.read_line() for client in clients] == ["MOVE"] * 4
     assert [process.wait(timeout=5) for process in living] == [0] * len(living)
 
 
@@ -1051,7 +1053,7 @@
 ) -> None:
     backend = Backend("a")
     with StoppingProcesses(tmp_path, [backend], "", place) as relay:
-        until(relay.ready)
+        wait_until(relay.ready)
         before = relay.client()
         assert before.open() == "UP r"
         relay.start()
@@ -1063,12 +1065,12 @@
             relay.process.terminate()
         else:
             time.sleep(1.7)  # past the lease
-        relay.go_on()
-        assert waits.hear() in ("UP r", "BUSY")
+        relay.resume()
+        assert waits.read_line() in ("UP r", "BUSY")
         if end == "terminated":
             assert relay.process.wait(timeout=6) == 0
         elif end == "late":
-            until(relay.ready)
+            wait_until(relay.ready)
         assert before.say("M 1") == "M 1"
         check_processes(relay)
 
@@ -1087,20 +1089,20 @@
     place: str, end: str, tmp_path: Path
 ) -> None:
     with StoppingProcesses(tmp_path, [Backend("a")], f"handover Handover {place}") as relay:
-        until(relay.ready)
+        wait_until(relay.ready)
         before = relay.client()
         assert before.open() == "UP r"
         old = relay.process
         relay.start()
-        until(lambda: paused(old.pid))
+        wait_until(lambda: is_paused(old.pid))
         waits = send_request(relay)
         if end == "killed":
             old.kill()
         else:
             time.sleep(1.7)  # past the lease, and past the new process's wait for an answer
             old.send_signal(signal.SIGCONT)
-        assert waits.hear() == "UP r"
-        until(relay.ready)
+        assert waits.read_line() == "UP r"
+        wait_until(relay.ready)
         if end == "late":
             assert before.say("M 1") == "M 1"
         check_processes(relay)
@@ -1109,16 +1111,18 @@
 def test_the_lease_ends_while_the_confirmation_is_still_unread(tmp_path: Path) -> None:
     """After a pause the old process handled the end of the lease first, and both processes reported ready."""
     with StoppingProcesses(tmp_path, [Backend("a")], "", "handover PeerProcess send before") as relay:
-        until(relay.ready)
+        wait_until(relay.ready)
         old = relay.processes[0]
         relay.start()
         relay.until_paused()
         old.send_signal(signal.SIGSTOP)
-        relay.go_on()
-        until(relay.ready)
+        relay.resume()
+        wait_until(relay.ready)
         time.sleep(1.7)
         old.send_signal(signal.SIGCONT)
-        until(lambda: relay.logged("the new process serves") or relay.logged("did not take over in time"))
+        wait_until(
+            lambda: relay.logged("the new process serves") or relay.logged("did not take over in time")
+        )
         assert not relay.ready(0) and relay.ready() and not relay.logged("did not take over in time")
         check_processes(relay)
 
@@ -1150,15 +1154,15 @@
     control = free_address()
     host, _, port = control.rpartition(":")
     with (
-        Program(tmp_path, [Backend("a")], control=control) as relay,
+        RelayProgram(tmp_path, [Backend("a")], control=control) as relay,
         socket.create_connection((host, int(port)), timeout=5) as caller,
     ):
         caller.sendall(b"GET /control/re")
-        until(relay.answers)
+        wait_until(relay.answers)
         relay.pause()
         caller.sendall(b"ady HTTP/1.1\r\nHost: x\r\n\r\n")
         time.sleep(CALL_TIMEOUT / SECOND + 0.3)
-        relay.go_on()
+        relay.resume()
         assert caller.recv(100).startswith(b"HTTP/1.1 200")
 
 
@@ -1168,14 +1172,14 @@
     Connections that had been answered were evicted before the answer was written.
     """
     control = free_address()
-    with Program(tmp_path, [Backend("a")], control=control) as relay:
+    with RelayProgram(tmp_path, [Backend("a")], control=control) as relay:
         relay.pause()
         crowd = [Caller(control).send(b"GET /con") for _ in range(30)]
         callers = []
         for _ in range(30):
             callers.append(Caller(control).send(b"GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n"))
             crowd.append(Caller(control).send(b"GET /con"))
-        relay.go_on()
+        relay.resume()
         assert [caller.answer()[0] for caller in callers] == [200] * 30
 
 
@@ -1186,9 +1190,9 @@
         return round(clock.seconds() * SECOND)
 
     timers = Timers(clock, now)
-    module = SimpleNamespace(tell=lambda *_: None, balancer=SimpleNamespace(stopping=None))
-    tunnels = SimpleNamespace(table=SimpleNamespace(used=1), end_all=lambda: sweeps.append(now()))
-    service = ServiceState(timers, module, None, tunnels, None, SimpleNamespace(away=False))
+    policy_host = SimpleNamespace(call=lambda *_: None, balancer=SimpleNamespace(stopping=None))
+    tunnels = SimpleNamespace(table=SimpleNamespace(used=1), close_all=lambda: sweeps.append(now()))
+    service = ServiceState(timers, policy_host, None, tunnels, None, SimpleNamespace(out_of_service=False))
     service.leave_service()
     clock.advance(5)
     assert not sweeps, "answers may still be unread"
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,7 +14,7 @@
 from contextlib import closing, contextmanager, suppress
 from pathlib import Path
 
-from helpers import MS, SETTINGS, Backend, Client, Program, fleet, teach, until
+from helpers import MS, SETTINGS, Backend, Client, RelayProgram, host_with_backends, learn_loads, wait_until
 from pytest import approx, mark, raises
 from test_control import call, free_address
 
@@ -31,7 +31,7 @@
 from cedarledge.settings import Indices
 
 
-class RestartableRelay(Program):
+class RestartableRelay(RelayProgram):
     """A relay whose listening socket the test holds, as the platform does, for several processes in turn."""
 
     def __init__(self, tmp: Path, backends: list[Backend], folder: str = "common", **other: object) -> None:
@@ -63,7 +63,7 @@
     def start_next(self) -> float:
         """Starts the next process; returns the seconds until it was ready."""
         self.start()
-        return until(self.ready, 6)
+        return wait_until(self.ready, 6)
 
     def ready(self, which: int = -1) -> bool:
         with suppress(OSError):
@@ -85,7 +85,7 @@
 @contextmanager
 def restartable_relay(tmp: Path, *backends: Backend, **other: object) -> Iterator[RestartableRelay]:
     with RestartableRelay(tmp, list(backends), **other) as relay:
-        until(relay.ready)
+        wait_until(relay.ready)
         yield relay
 
 
@@ -131,7 +131,7 @@
     }
     with restartable_relay(tmp_path, backend, settings=long_limits) as relay:
         stream = ClientStream(relay)
-        until(lambda: len(stream.answers) > 10)
+        wait_until(lambda: len(stream.answers) > 10)
         for old in range(2):
             before = []
             while len(before) < 10:
@@ -143,9 +143,9 @@
             assert not relay.ready(old), "only one of the two processes reports ready"
             start = time.monotonic()
             relay.processes[old].terminate()
-            assert [client.hear() for client in before] == ["MOVE"] * len(before)
+            assert [client.read_line() for client in before] == ["MOVE"] * len(before)
             assert relay.processes[old].wait(timeout=4) == 0 and time.monotonic() - start < 3.7
-            until(lambda count=count: len(stream.answers) > count + 20)
+            wait_until(lambda count=count: len(stream.answers) > count + 20)
         stream.end()
         assert set(stream.answers) == {"UP r"}, "no client was rejected or lost"
         assert len(backend.heads) == len(stream.answers) + others, "and none was set up twice"
@@ -179,7 +179,7 @@
             waits.link.sendall(b"PING\r\n")
             time.sleep(0.3)
             assert not relay.logged("serves on"), "the client waits in the kernel's queue"
-        assert waits.hear() == "PONG" and relay.ready()
+        assert waits.read_line() == "PONG" and relay.ready()
         # A process that stays connected and confirms nothing: the lease ends.
         with closing(socket.socket(socket.AF_UNIX)) as link:
             connect_to(link, path)
@@ -196,7 +196,7 @@
     with restartable_relay(tmp_path, Backend("a")) as relay:
         assert relay.start_next() < 6 and not relay.ready(0)
         relay.process.kill()
-        until(lambda: relay.ready(0))
+        wait_until(lambda: relay.ready(0))
         assert relay.client().open() == "UP r"
 
 
@@ -243,9 +243,9 @@
         again = f"OPEN {client.id} k c=feed,d=1500,g=g1"
         assert relay.client().say(again) == "ERR"
         relay.processes[0].terminate()
-        assert client.hear() == "MOVE"
+        assert client.read_line() == "MOVE"
         relay.processes[0].wait(timeout=4)
-        until(lambda: relay.logged("the previous process has ended"))
+        wait_until(lambda: relay.logged("the previous process has ended"))
         assert relay.client().say(again) == "UP r"
 
 
@@ -253,7 +253,7 @@
     backends = [Backend("a"), Backend("b")]
     with restartable_relay(tmp_path, *backends) as relay:
         relay.discovery.tell(backends[0].entry("draining"))
-        until(lambda: len(relay.discovery.calls) > 1)
+        wait_until(lambda: len(relay.discovery.calls) > 1)
         # Discovery fails from here on, and the configuration of the new process has the list before the
         # drain.
         relay.discovery.broken = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
@@ -308,7 +308,7 @@
     with restartable_relay(tmp_path, Backend("a")) as relay:
         assert relay.start_next() < 6
         relay.reload()
-        until(lambda: relay.logged("configuration read again"))
+        wait_until(lambda: relay.logged("configuration read again"))
         assert not relay.logged("can't be used") and relay.client().open() == "UP r"
 
 
@@ -331,7 +331,7 @@
         assert both <= 150
         relay.processes[0].terminate()
         assert relay.processes[0].wait(timeout=4) == 0
-        until(lambda: relay.client().say("PING") == "PONG", 3)
+        wait_until(lambda: relay.client().say("PING") == "PONG", 3)
 
 
 def test_a_folder_with_a_long_path_works(tmp_path: Path) -> None:
@@ -395,11 +395,11 @@
 
 
 def test_the_new_process_takes_over_what_the_old_one_has_learned_and_keeps_it() -> None:
-    old = fleet(size=2, asked=None)
+    old = host_with_backends(size=2, asked=None)
     kinds = Indices(["k"])
-    teach(old)
+    learn_loads(old)
     learned = json.loads(json.dumps(learned_state.export_state(old.balancer, kinds, old.now)))
-    new = fleet(size=2, asked=None, now=old.now)
+    new = host_with_backends(size=2, asked=None, now=old.now)
     with raises(ValueError):
         learned_state.import_state(new.balancer, kinds, learned | {"loads": learned["loads"][1:]}, new.now)
     with raises(ValueError):
