--- a/cedarledge/net/eventlog.py
+++ b/cedarledge/net/eventlog.py
@@ -18,11 +18,13 @@
     tunnel.moved, tunnel.ended, list.changed, list.lost, box.probed. Durations are in ns.
     """
 
-    def __init__(self, events: Collection[str], profiles: Sequence[str], boxes: Sequence[str]) -> None:
-        """Logs the categories in `events`; `profiles` and `boxes` are names by index."""
+    def __init__(
+        self, events: Collection[str], profile_names: Sequence[str], backend_names: Sequence[str]
+    ) -> None:
+        """Logs the categories in `events`; the names are by number of profile and of backend."""
         self._events = frozenset(events)
-        self._profiles = profiles
-        self._boxes = boxes  # shared with the backend list, which appends new names
+        self._profile_names = profile_names
+        self._backend_names = backend_names  # shared with the backend list, which appends new names
 
     def _log_event(self, category: str, event: str, **fields: Any) -> None:
         if category in self._events:
@@ -31,25 +33,29 @@
             )
 
     def arrived(self, now: int, tunnel_id: int, profile: int, returning: bool) -> None:
-        """Logs a request that was taken in, with its profile and whether the client came back."""
+        """Logs a new request, with its profile and whether its client says that it comes back."""
         self._log_event(
             "arrived",
             "tunnel.arrived",
             tunnel=tunnel_id,
-            profile=self._profiles[profile],
+            profile=self._profile_names[profile],
             returning=returning,
         )
 
     def set_up(self, now: int, tunnel_id: int, backend_id: int, timeout: int) -> None:
         """Logs an attempt that goes out, with its time-out."""
         self._log_event(
-            "setup", "tunnel.setup", tunnel=tunnel_id, backend=self._boxes[backend_id], timeout=timeout
+            "setup",
+            "tunnel.setup",
+            tunnel=tunnel_id,
+            backend=self._backend_names[backend_id],
+            timeout=timeout,
         )
 
     def opened(self, now: int, tunnel_id: int, backend_id: int, took: int) -> None:
         """Logs a tunnel that its backend accepted, with the duration of the attempt."""
         self._log_event(
-            "opened", "tunnel.opened", tunnel=tunnel_id, backend=self._boxes[backend_id], took=took
+            "opened", "tunnel.opened", tunnel=tunnel_id, backend=self._backend_names[backend_id], took=took
         )
 
     def setup_over(
@@ -60,7 +66,7 @@
             "setup",
             "tunnel.setup_over",
             tunnel=tunnel_id,
-            backend=self._boxes[backend_id],
+            backend=self._backend_names[backend_id],
             outcome=outcome.name.lower(),
             took=took,
             was_open=was_open,
@@ -78,7 +84,7 @@
 
     def moved(self, now: int, tunnel_id: int, backend_id: int) -> None:
         """Logs a client that was told to reconnect elsewhere."""
-        self._log_event("moved", "tunnel.moved", tunnel=tunnel_id, backend=self._boxes[backend_id])
+        self._log_event("moved", "tunnel.moved", tunnel=tunnel_id, backend=self._backend_names[backend_id])
 
     def ended(self, now: int, tunnel_id: int, took: int) -> None:
         """Logs the end of a tunnel, with the time since it arrived."""
@@ -94,5 +100,9 @@
     def probed(self, now: int, backend_id: int, answered: bool, report: LoadReport) -> None:
         """Logs the end of a probe and the load that the backend reported."""
         self._log_event(
-            "probe", "box.probed", backend=self._boxes[backend_id], answered=answered, asked=report.asked
+            "probe",
+            "box.probed",
+            backend=self._backend_names[backend_id],
+            answered=answered,
+            asked=report.asked,
         )
--- a/cedarledge/net/handover.py
+++ b/cedarledge/net/handover.py
@@ -45,10 +45,10 @@
 LEASE = 1500 * MS
 # Time for the other process to acknowledge an operator's call; operators must have their answer within 1 s.
 ACKNOWLEDGE_WITHIN = 500 * MS
-REPORT_HELD_EVERY = 250 * MS
+REPORT_HELD_EVERY = 250 * MS  # descriptors that the old process still uses
 # Far above the size of any list of backends; a longer message is refused.
 MAX_MESSAGE_BYTES = 8 << 20
-MAX_FOLDER_PATH_BYTES = 60
+MAX_FOLDER_PATH_BYTES = 60  # a Unix socket address has 108 bytes, and the file name needs the rest
 # Index of the start time among the fields of /proc/PID/stat that follow the process name.
 START_TIME_FIELD = 19
 
@@ -64,14 +64,14 @@
     """
 
     until: int  # end of the lease on the monotonic clock, which all processes of the machine share
-    revision: int | None
-    members: list[dict[str, Any]]
-    banned: dict[str, int]
-    back: dict[str, int]
-    away: bool
-    ids: list[str]
-    held: int
-    beliefs: dict[str, Any]
+    revision: int | None  # of the list of backends
+    members: list[dict[str, Any]]  # entries of the list as discovery sent them
+    banned: dict[str, int]  # backends that operators took offline, and since when
+    back: dict[str, int]  # backends that operators brought online again, and when
+    away: bool  # whether the relay is out of service
+    ids: list[str]  # of the connections that are open at the old process
+    held: int  # descriptors that the old process uses
+    beliefs: dict[str, Any]  # what the policy has learned; see learned_state.py
     # The old process's clock, on which `banned` and `back` are given, and Unix time as it knew it, each minus
     # the monotonic clock. Releases that don't send them are assumed to have the same offsets as this process.
     clock_offset: int | None = None
@@ -225,7 +225,7 @@
     def __init__(self, handover: Handover) -> None:
         """Passes messages and the end of the connection on to `handover`."""
         self.handover = handover
-        self.rest = b""
+        self.incomplete_line = b""
 
     def connectionMade(self) -> None:  # noqa: N802
         """Closes connections from processes of other users."""
@@ -239,11 +239,11 @@
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Handles all complete lines; closes the connection on a malformed or too long message."""
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        *lines, self.incomplete_line = (self.incomplete_line + data).split(b"\n")
         try:
             for line in lines:
                 self.handover.message_received(self, read_message(line))
-            if len(self.rest) > MAX_MESSAGE_BYTES:
+            if len(self.incomplete_line) > MAX_MESSAGE_BYTES:
                 raise HandoverMessageError("the message is too long")
         except HandoverMessageError as why:
             logger.warning("handover: {}", why)
@@ -388,7 +388,7 @@
         elif "taken" in message:
             self._takeover_confirmed(peer)
         elif type(message.get("held")) is int:
-            self._set_lent(max(0, message["held"]))
+            self._update_reserved_slots(max(0, message["held"]))
         elif "do" in message:
             self._run_operation(message["do"], message.get("name", ""))
             peer.send(done=message.get("call"))
@@ -397,7 +397,7 @@
         else:
             raise HandoverMessageError(f"unknown message with the keys {sorted(message)[:5]}")
 
-    def _set_lent(self, held: int) -> None:
+    def _update_reserved_slots(self, held: int) -> None:
         # A listener that is paused for lack of slots has to be told when the other process frees some.
         self.links.reserved = held
         self.listener.slots_freed()
@@ -467,7 +467,7 @@
             self.predecessor = None
             self.service.taking_over = False
             self.tunnels.predecessor_ids = frozenset()
-            self._set_lent(0)
+            self._update_reserved_slots(0)
         elif peer is self.successor:
             # It died, or never took over: this process accepts what waits in the kernel's queue again.
             logger.warning("handover: the new process is gone; this one serves on")
--- a/cedarledge/net/observers.py
+++ b/cedarledge/net/observers.py
@@ -39,15 +39,15 @@
         self,
         clock: Callable[[], int],
         timers: Timers,
-        most_share: float = 0.05,
+        max_share: float = 0.05,
         exclusion: int = 30 * SECOND,
         stopwatch: Callable[[], int] = perf_counter_ns,
     ) -> None:
-        """Limits each observer to `most_share` of every second; `exclusion` and both clocks are in ns."""
+        """Limits each observer to `max_share` of every second; `exclusion` and both clocks are in ns."""
         self._clock = clock
         self._timers = timers
         self._stopwatch = stopwatch
-        self.time_limit = int(most_share * SECOND)
+        self.time_limit = int(max_share * SECOND)
         self.exclusion = exclusion
         self._registrations: list[_Registration] = []
         # For each event only the observers that override its method; the others are never called.
