--- a/cedarledge/net/control.py
+++ b/cedarledge/net/control.py
@@ -124,7 +124,7 @@
         return Call(words[0], words[1].partition("?")[0]), int(length)
 
 
-class CallLink(Link):
+class CallConnection(Link):
     """One operator's connection.
 
     The answer goes out in the event that brings the last byte of the call, or once the other process of this
@@ -199,14 +199,14 @@
         self.service = service
         self.handover = handover  # None if this relay can't have another process
 
-    def buildProtocol(self, addr: IAddress) -> CallLink | None:  # noqa: N802
+    def buildProtocol(self, addr: IAddress) -> CallConnection | None:  # noqa: N802
         """Accepts a connection, or refuses it if no slot is left."""
         self.evict_idle()
         # Twisted raises the limit of accepts after this call. After a pause of this process it would then
         # accept 24 connections in its next turn, more than there are slots, and the first of them would be
         # evicted for the last before their calls were read.
         self.context.timers.after(0, setattr, self.port, "numberAccepts", ACCEPTS_PER_TURN)
-        return CallLink(self) if self.context.links.free else None
+        return CallConnection(self) if self.context.links.free else None
 
     def handle_call(self, call: Call, answer: Callable[[Answer], None]) -> None:
         """Runs a call; passes the response to `answer` once the other process, if any, has the call too."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -59,8 +59,7 @@
         row | {"setup_goal": 1_000_000, "client_timeout": 3_000_000} for row in SETTINGS["profiles"]
     ],
 }
-# For tests in which the duration of an attempt doesn't matter: probes have 0.75 s, attempts a second and
-# more.
+# For tests in which the duration of an attempt doesn't matter: probes have 0.75 s, attempts over a second.
 PATIENT = UNHURRIED | {
     "profiles": [row | {"setup_goal": 3_000_000, "client_timeout": 6_000_000} for row in SETTINGS["profiles"]]
 }
@@ -83,9 +82,8 @@
 def connections_at(relay: RelayProgram, backend: Backend) -> int:
     """Opens a dozen connections; returns how many of them the backend gets."""
     before = len(backend.heads)
-    clients = [
-        relay.client() for _ in range(12)
-    ]  # they stay open, so that each backend that may be chosen is chosen
+    # They stay open, so that each backend that may be chosen is chosen.
+    clients = [relay.client() for _ in range(12)]
     answers = [client.open(f"{time.monotonic_ns()}", "c=feed,d=6000") for client in clients]
     assert answers == ["UP r"] * 12, relay.log.read_text()
     return len(backend.heads) - before
@@ -210,11 +208,11 @@
 def test_an_indented_list_in_small_segments_takes_effect(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
     with RelayProgram(tmp_path, backends, settings=PATIENT) as relay:
-        pieces = ChunkedDiscovery([backend.entry() for backend in backends])
-        relay.reload(discovery=pieces.address)
-        wait_until(lambda: len(pieces.calls) == 2)
-        pieces.tell(backends[0].entry("draining"))
-        wait_until(lambda: len(pieces.calls) == 3)
+        chunked = ChunkedDiscovery([backend.entry() for backend in backends])
+        relay.reload(discovery=chunked.address)
+        wait_until(lambda: len(chunked.calls) == 2)
+        chunked.tell(backends[0].entry("draining"))
+        wait_until(lambda: len(chunked.calls) == 3)
         assert not connections_at(relay, backends[0])
 
 
@@ -254,19 +252,19 @@
         assert not connections_at(relay, backends[0])
 
 
-@mark.parametrize("trouble", ["silent", "silent in mid-body", "down"])
+@mark.parametrize("failure", ["silent", "silent in mid-body", "down"])
 @mark.parametrize("settings", [PATIENT, PUSHED], ids=["asked", "pushed"])
 def test_sighup_during_any_discovery_failure_moves_to_the_new_address(
-    settings: dict, trouble: str, tmp_path: Path
+    settings: dict, failure: str, tmp_path: Path
 ) -> None:
     backends = [Backend("a"), Backend("b")]
     with RelayProgram(tmp_path, backends, settings=settings) as relay:
         wait_until(lambda: relay.discovery.calls)
-        if trouble == "down":
+        if failure == "down":
             relay.discovery.go_down()
             wait_until(lambda: "WARNING discovery" in relay.log.read_text())
         else:
-            relay.discovery.fall_silent(CHANGE[:-9] if "body" in trouble else b"")
+            relay.discovery.fall_silent(CHANGE[:-9] if "body" in failure else b"")
         relay.discovery.tell(backends[1].entry("draining"))
         other = Discovery([backends[0].entry("draining"), backends[1].entry()])
         time.sleep(0.2)
@@ -357,8 +355,8 @@
         os.close(self.pipe)
 
 
-def exit_code(relay: RelayProgram, within: float = 6) -> int:
-    wait_until(lambda: relay.process.poll() is not None, within)
+def exit_code(relay: RelayProgram, timeout: float = 6) -> int:
+    wait_until(lambda: relay.process.poll() is not None, timeout)
     return relay.process.returncode
 
 
@@ -436,10 +434,10 @@
 def test_the_stop_answers_partial_requests_and_hanging_attempts(tmp_path: Path) -> None:
     backends = [Backend("a", "hang"), Backend("b", "hang")]
     with RelayProgram(tmp_path, backends) as relay:
-        hung, once, pieces, quiet = (relay.client() for _ in range(4))
+        hung, once, partial, quiet = (relay.client() for _ in range(4))
         hung.link.sendall(b"OPEN 1 k c=feed,d=1500\r\n")
         once.link.sendall(b"OPEN 2 k c=bill,d=1500\r\n")
-        pieces.link.sendall(b"OPEN 3 k c=feed,")
+        partial.link.sendall(b"OPEN 3 k c=feed,")
         wait_until(lambda: sum(len(backend.heads) for backend in backends) >= 2)
         relay.terminate()
         wait_until(lambda: "stops within" in relay.log.read_text())
@@ -447,9 +445,9 @@
         late.link.sendall(b"OPEN 4 k c=feed,d=1")
         for part in (b"d=15", b"00\r", b"\n"):
             time.sleep(0.1)
-            pieces.link.sendall(part)
+            partial.link.sendall(part)
         late.link.sendall(b"500\r\n")
-        for client in (hung, once, pieces, late):
+        for client in (hung, once, partial, late):
             assert client.read_line() in ("ERR", "BUSY") and client.read_line() == ""
         assert quiet.read_line() in ("", "reset"), "it has sent no request"
         assert exit_code(relay) == 0
@@ -722,14 +720,14 @@
 def first_data(late: socket.socket) -> bytes:
     """Makes room in the queue; returns the first data that arrives within two seconds, or nothing."""
     late.settimeout(2)
-    came = b""
+    data = b""
     with suppress(TimeoutError):
-        while not came:
+        while not data:
             link, _ = late.accept()
             link.settimeout(0.3)
             with suppress(TimeoutError):
-                came = link.recv(100)
-    return came
+                data = link.recv(100)
+    return data
 
 
 @mark.parametrize("leaves", [True, False])
@@ -823,10 +821,10 @@
     cold.tokens = 1.5
     while not host.sends or host.sends[-1][2] != 0:
         host.arrive(hint=100.0)
-    tun, left = host.sends[-1][1], cold.tokens
-    host.balancer.client_gone(host.now, tun)
-    host.requests[tun].answered = True
-    host.end(tun, Outcome.NOT_SENT)
+    connection_id, left = host.sends[-1][1], cold.tokens
+    host.balancer.client_gone(host.now, connection_id)
+    host.requests[connection_id].answered = True
+    host.end(connection_id, Outcome.NOT_SENT)
     assert cold.tokens == approx(left + 1) and not cold.open and not cold.pending
 
 
@@ -889,7 +887,7 @@
         self.heads += [line.decode().strip() for line in iter(lines.readline, b"")]
 
 
-def pages(relay: RelayProgram) -> int:
+def resident_pages(relay: RelayProgram) -> int:
     return int(Path(f"/proc/{relay.process.pid}/statm").read_text().split()[1])
 
 
@@ -900,7 +898,7 @@
     bad, good = kind("a"), Backend("b")
     with RelayProgram(tmp_path, [bad, good], settings=UNHURRIED) as relay:
         assert relay.client().open(names="c=feed,d=3000") == "UP r"
-        descriptors, before = descriptor_count(relay), pages(relay)
+        descriptors, before = descriptor_count(relay), resident_pages(relay)
         for number in range(60):
             client = relay.client()
             with suppress(OSError):  # the relay refuses it early on
@@ -912,10 +910,9 @@
             assert bad.heads, "it got an attempt"
         for client in clients:
             client.close()
-        wait_until(
-            lambda: descriptor_count(relay) <= descriptors + 1
-        )  # one kept connection for probes of the other backend
-        assert pages(relay) - before < 8 << 8, "8 MB in pages of 4 KiB"
+        # One kept connection for probes of the other backend.
+        wait_until(lambda: descriptor_count(relay) <= descriptors + 1)
+        assert resident_pages(relay) - before < 8 << 8, "8 MB in pages of 4 KiB"
 
 
 # -- repeated attempts -----------------------------------------------------------------------------
