--- a/cedarledge/net/backends.py
+++ b/cedarledge/net/backends.py
@@ -279,9 +279,9 @@
             return
         self.out = self.again = False
         self.due_in(self.backends.idle_within, self._idle)
-        if slower > 1 and report.asked is not None:
+        if slower > 1 and report.offered_load is not None:
             # The report is older than what the probe itself has met.
-            report = report._replace(asked=report.asked * slower)
+            report = report._replace(offered_load=report.offered_load * slower)
         self.backends.probe_over(self.ep, word == b"PONG", report)
 
     def _idle(self) -> None:
--- a/cedarledge/net/beliefs.py
+++ b/cedarledge/net/beliefs.py
@@ -20,10 +20,10 @@
     """Loads by profile, capacities by kind, and the rate at which backends may be filled."""
     state = balancer.state
     return {
-        "loads": [_sums(load, now) for load in state.loads],
+        "loads": [_sums(load, now) for load in state.class_loads],
         "capacity": [
             [kinds.names[kind], *_sums(capacity, now)]
-            for kind, capacity in state.capacity.items()
+            for kind, capacity in state.host_type_capacity.items()
             if kind >= 0
         ],
         "rate": state.fill_rate,
@@ -36,14 +36,14 @@
     loads = [_figures(pair, 2) for pair in told["loads"]]
     capacity = [(kinds[name], _figures(pair, 2)) for name, *pair in told["capacity"]]
     (rate,) = _figures([told["rate"]], 1)
-    if len(loads) != len(state.loads):
+    if len(loads) != len(state.class_loads):
         raise ValueError("other profiles")
-    for load, pair in zip(state.loads, loads, strict=True):
+    for load, pair in zip(state.class_loads, loads, strict=True):
         load.add(now, *pair)
     # What it sees until it holds its share would have it unlearn this.
     state.fill_rate, state.unrepresentative_until = rate, state.settling_until
     for kind, pair in capacity:
-        state.capacity[kind].add(now, *pair)
+        state.host_type_capacity[kind].add(now, *pair)
 
 
 def _sums(ratio: DecayingRatio, now: int) -> Sums:
--- a/cedarledge/net/boxlist.py
+++ b/cedarledge/net/boxlist.py
@@ -9,8 +9,8 @@
 from cedarledge.net.hearers import Hearers
 from cedarledge.net.module import Module
 from cedarledge.net.start_times import StartTimes
-from cedarledge.settings import Indices, mark_of
-from cedarledge.terms import MS, BackendState, Listed, ListForm
+from cedarledge.settings import Indices, stable_hash
+from cedarledge.terms import MS, BackendEntry, BackendState, ListForm
 
 PHASES = {"up": BackendState.READY, "draining": BackendState.DRAINING, "removed": BackendState.GONE}
 
@@ -39,7 +39,7 @@
         self.back: dict[int, int] = {}  # put back by them, and when
         self.start_times = StartTimes(module.clock)
 
-    def entry(self, told: Mapping[str, Any]) -> Listed:
+    def entry(self, told: Mapping[str, Any]) -> BackendEntry:
         """One entry in the module's terms. Raises KeyError, TypeError or ValueError for what is none."""
         # What the page does not name gets nothing new, as a draining one; the rest of the list still counts.
         standing = PHASES.get(told["phase"], BackendState.DRAINING)
@@ -50,7 +50,7 @@
             standing = BackendState.DRAINING
         # One that was put back was started anew while it was out; the list may learn of that later.
         started = max(self.start_of(ep, told), self.back.get(ep, 0))
-        return Listed(
+        return BackendEntry(
             ep,
             int(told.get("cell") or 0),
             self.zones[told.get("locality")],
@@ -58,7 +58,7 @@
             float(told.get("size") or 0),
             standing,
             started,
-            mark_of(told["id"]),
+            stable_hash(told["id"]),
         )
 
     def start_of(self, backend_id: int, told: Mapping[str, Any]) -> int:
@@ -66,7 +66,7 @@
         TypeError."""
         return self.start_times.place(backend_id, _unix_start(told))
 
-    def known_at_start(self, members: list[dict[str, Any]]) -> list[Listed]:
+    def known_at_start(self, members: list[dict[str, Any]]) -> list[BackendEntry]:
         """The list that this relay was started with, in the module's terms. Raises KeyError, TypeError or
         ValueError."""
         self.start_times.begin(map(_unix_start, members))
@@ -82,27 +82,27 @@
         if form is not ListForm.CHANGES:
             self.listed.clear()
         for told, entry in zip(members, entries, strict=True):
-            self.listed[entry.ep] = told
-            if entry.standing is BackendState.GONE:
-                del self.listed[entry.ep]
+            self.listed[entry.backend_id] = told
+            if entry.state is BackendState.GONE:
+                del self.listed[entry.backend_id]
         self.changed(form, entries)
 
     def lost(self) -> None:
         self.module.tell(self.module.balancer.list_changed, ListForm.UNAVAILABLE, [])
         self.hearers.tell("listed", ListForm.UNAVAILABLE, [])
 
-    def changed(self, form: ListForm, entries: list[Listed]) -> None:
+    def changed(self, form: ListForm, entries: list[BackendEntry]) -> None:
         if form is not ListForm.CHANGES:
             self.ready.clear()
-        self.ready -= {entry.ep for entry in entries}
-        self.ready |= {entry.ep for entry in entries if entry.standing is BackendState.READY}
+        self.ready -= {entry.backend_id for entry in entries}
+        self.ready |= {entry.backend_id for entry in entries if entry.state is BackendState.READY}
         self.module.tell(self.module.balancer.list_changed, form, entries)
         self.hearers.tell("listed", form, entries)
 
     def set_aside(self, names: Collection[str]) -> None:
         """What the operator wants nothing new sent to. A box that is not on the list yet is known by its
         name."""
-        self.module.knows(aside=frozenset(self.eps[name] for name in names))
+        self.module.knows(excluded=frozenset(self.eps[name] for name in names))
 
     # -- what operators call -----------------------------------------------------------------------
 
--- a/cedarledge/net/eventlog.py
+++ b/cedarledge/net/eventlog.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from cedarledge.net.seams import Hearer
-from cedarledge.terms import Listed, ListForm, LoadReport, Outcome
+from cedarledge.terms import BackendEntry, ListForm, LoadReport, Outcome
 
 
 class EventLog(Hearer):
@@ -63,11 +63,13 @@
     def ended(self, now: int, tun: int, took: int) -> None:
         self._say("ended", "tunnel.ended", tunnel=tun, took=took)
 
-    def listed(self, now: int, form: ListForm, entries: list[Listed]) -> None:
+    def listed(self, now: int, form: ListForm, entries: list[BackendEntry]) -> None:
         if form is ListForm.UNAVAILABLE:
             self._say("list", "list.lost")
         else:
             self._say("list", "list.changed", form=form.name.lower(), entries=len(entries))
 
     def probed(self, now: int, ep: int, answered: bool, report: LoadReport) -> None:
-        self._say("probe", "box.probed", backend=self._boxes[ep], answered=answered, asked=report.asked)
+        self._say(
+            "probe", "box.probed", backend=self._boxes[ep], answered=answered, asked=report.offered_load
+        )
--- a/cedarledge/net/handover.py
+++ b/cedarledge/net/handover.py
@@ -33,7 +33,7 @@
 from cedarledge.net.service import Service, UnknownError
 from cedarledge.net.timers import Timer
 from cedarledge.net.tunnels import Tunnels
-from cedarledge.settings import mark_of
+from cedarledge.settings import stable_hash
 from cedarledge.terms import MS, ListForm
 
 # Of what is told. Another version is not understood, and who asks in one goes on alone.
@@ -201,7 +201,7 @@
 
 
 def own_path(folder: Path, name: str, process: int | str = "") -> Path:
-    return folder / f"cedarledge-{mark_of(name):x}-{process or os.getpid()}.sock"
+    return folder / f"cedarledge-{stable_hash(name):x}-{process or os.getpid()}.sock"
 
 
 class Peer(Protocol):
--- a/cedarledge/net/module.py
+++ b/cedarledge/net/module.py
@@ -36,7 +36,7 @@
         self.boxes = boxes
         self.watching = watching
         # Sends and answers are a tunnel's business alone; they need no way through here.
-        self.send, self.decline = tunnels.send, tunnels.decline
+        self.attempt, self.reject = tunnels.send, tunnels.decline
         self.close_with_error, self.move = tunnels.close_with_error, tunnels.move
 
     def start(self, facts: DeploymentSettings, make: MakeBalancer = Balancer) -> None:
@@ -44,7 +44,7 @@
 
     def chance(self) -> float:
         """A draw from the one source of random numbers that a relay has."""
-        return self.balancer.chance()
+        return self.balancer.random()
 
     def tell(self, method: Callable[..., None], *args: Any) -> bool:
         """Calls the module. A fault there costs one event, not the connections that this relay holds; but
@@ -62,21 +62,21 @@
         external_view = self.external_view._replace(**known)
         if external_view != self.external_view:
             self.external_view = external_view
-            self.tell(self.balancer.knows, external_view)
+            self.tell(self.balancer.external_view_changed, external_view)
 
     # -- the rest of the host interface ------------------------------------------------------------
 
     def probe(self, ep: int) -> None:
         self.backends.probe(ep, self.boxes.addresses[ep])
 
-    def wake(self, delay: int, token: int) -> None:
+    def set_timer(self, delay: int, token: int) -> None:
         # The module takes the end of a look for its box's silence.
         self.timers.after_reading(delay, self._woke, token)
 
     def _woke(self, token: int) -> None:
-        self.tell(self.balancer.woke, token)
+        self.tell(self.balancer.timer_fired, token)
 
-    def watch(self) -> None:
+    def request_list(self) -> None:
         self.watching.start()
 
     def log(self, text: str) -> None:
--- a/cedarledge/net/relay.py
+++ b/cedarledge/net/relay.py
@@ -105,7 +105,7 @@
             waits = [max(MS, int(row["client_timeout"]) * US or LONGEST_STOP) for row in settings["profiles"]]
             # Clients' lines come back at once however slow the backend's messages are; they show hangs alone.
             facts = deployment_settings(settings, orders.seed, self.clock(), self.boxes.zones)._replace(
-                delays_told=False
+                message_delays_known=False
             )
             allowed, reports = settings["allowed"], settings.get("load_report") or {}
             connect_within = int(allowed["connect_timeout"]) * US or LONGEST_STOP  # 0: no limit is told
@@ -115,8 +115,8 @@
                 self.timers,
                 orders.discovery,
                 int(orders.known["revision"]),
-                facts.ask_every,
-                not facts.must_ask,
+                facts.list_request_interval,
+                not facts.requests_list,
                 self.module.chance,
                 self.boxes.told,
                 self.boxes.lost,
@@ -140,7 +140,7 @@
                 self.tunnels,
                 self.probe_over,
                 ReportReader(settings),
-                Paces((facts.tightest or min(goals)) // 5),
+                Paces((facts.shortest_message_goal or min(goals)) // 5),
                 connect_within,
                 # A probe that takes longer than the tightest setup may tells nothing good of its backend.
                 probe_within=min(goals),
@@ -151,7 +151,7 @@
             tells = (settings.get("domain") or {}).get("tells_delay")
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as why:
             raise BadConfigError(f"the settings can't be used: {why!r}") from why
-        slow = facts.tightest // 3 if tells else 0
+        slow = facts.shortest_message_goal // 3 if tells else 0
         self.reported, in_lines = (Delays(self.clock, slow, self.delay_told) for _ in range(2))
         self.tunnels.join(self.backends, Echoes(self.clock, self.timers, in_lines, self.tunnels.silent))
         self.module.join(self.tunnels, self.backends, self.boxes, self.watching)
@@ -164,7 +164,7 @@
         self.listeners: list[Hearer] = []
         self.module.start(facts, balancer)
         self.boxes.take_in(ListForm.RESTORED, orders.known["members"])
-        if not facts.must_ask:
+        if not facts.requests_list:
             # Where the module is told of changes unasked, it leaves the asking to its host.
             self.watching.start()
 
@@ -200,14 +200,14 @@
 
     def delay_told(self, ep: int, delay: int) -> None:
         logger.debug("a message takes {} ms at {}", delay // MS, self.boxes.eps.names[ep])
-        self.module.tell(self.module.balancer.delay_told, ep, delay)
+        self.module.tell(self.module.balancer.message_delay_changed, ep, delay)
 
     def probe_over(self, ep: int, answered: bool, report: LoadReport) -> None:
         logger.debug("probe of {}: {}, {}", self.boxes.eps.names[ep], answered, report)
         if report.service_time is not None:
             # The clients' lines don't tell how long messages take; what a backend says of itself does.
             self.reported.took(ep, int(report.service_time))
-        self.module.tell(self.module.balancer.probed, ep, answered, report)
+        self.module.tell(self.module.balancer.probe_ended, ep, answered, report)
         self.hearers.tell("probed", ep, answered, report)
 
     def listens(self, hearer: Hearer) -> None:
@@ -269,7 +269,7 @@
         if not self.service.replaced and self.tunnels.refugees.read(self.clock()) > REFUGEES * held:
             wait = int(LATE * self.stop_within)
             within = self.stop_within + KILL_LATER - wait
-        self.timers.after(wait, self.module.tell, self.module.balancer.stopping, within)
+        self.timers.after(wait, self.module.tell, self.module.balancer.drain_started, within)
         # Where this process was paused, connections that came meanwhile wait to be accepted, and lines to be
         # read: looked at first, as the end would reset them without an answer.
         self.timers.after_reading(STOP_LOOK, self._end_if_empty, self.clock() + newcomers_for)
--- a/cedarledge/net/request_guard.py
+++ b/cedarledge/net/request_guard.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from cedarledge.net.invariants import Invariant, Invariants
-from cedarledge.terms import MS, NEVER_RAN, Dedup, Effect, Outcome, ProfileRow
+from cedarledge.terms import MS, NEVER_RAN, Dedup, Effect, Outcome, RequestClassSettings
 
 # What the platform allows past each time limit on sockets.
 GRACE = 50 * MS
@@ -77,7 +77,7 @@
         self,
         invariants: Invariants,
         clock: Callable[[], int],
-        classes: Sequence[ProfileRow],
+        classes: Sequence[RequestClassSettings],
         listed: Mapping[int, Mapping[str, Any]],
         names: Sequence[str],
     ) -> None:
--- a/cedarledge/net/seams.py
+++ b/cedarledge/net/seams.py
@@ -14,7 +14,7 @@
 
 from typing import TYPE_CHECKING, Any, Protocol
 
-from cedarledge.terms import Listed, ListForm, LoadReport, Outcome
+from cedarledge.terms import BackendEntry, ListForm, LoadReport, Outcome
 
 if TYPE_CHECKING:
     from cedarledge.net.clients import Opening
@@ -84,7 +84,7 @@
         """The tunnel's slot is given back, that long after it arrived; its number means another one from now
         on."""
 
-    def listed(self, now: int, form: ListForm, entries: list[Listed]) -> None:
+    def listed(self, now: int, form: ListForm, entries: list[BackendEntry]) -> None:
         """The list of boxes has changed, or was lost."""
 
     def probed(self, now: int, ep: int, answered: bool, report: LoadReport) -> None:
--- a/cedarledge/net/service.py
+++ b/cedarledge/net/service.py
@@ -72,7 +72,7 @@
         self.front.away = True
         logger.info("out of service: {} tunnels are sent away", self.tunnels.table.used)
         if not self.ending:
-            self.module.tell(self.module.balancer.stopping, EMPTY_WITHIN)
+            self.module.tell(self.module.balancer.drain_started, EMPTY_WITHIN)
             self._sweep = self.timers.after_reading(ANSWER_ALL_AFTER, self.tunnels.end_all)
 
     def come_in(self) -> None:
@@ -82,7 +82,7 @@
         logger.info("in service again with {} tunnels", self.tunnels.table.used)
         if not self.ending:
             self.timers.cancel(self._sweep)
-            self.module.tell(self.module.balancer.staying)
+            self.module.tell(self.module.balancer.drain_cancelled)
 
     def take_out(self, name: str) -> None:
         ep = self._known(name)
--- a/cedarledge/net/tunnels.py
+++ b/cedarledge/net/tunnels.py
@@ -19,7 +19,7 @@
 from cedarledge.net.seams import ClientEnd
 from cedarledge.net.slots import FullError, Slots
 from cedarledge.policy.estimators import DecayingSum
-from cedarledge.terms import MS, SECOND, LoadReport, Outcome, ProfileRow
+from cedarledge.terms import MS, SECOND, LoadReport, Outcome, RequestClassSettings
 
 # A client that would wait for so many times its profile's client timeout is none of ours.
 LONGER = 2
@@ -84,7 +84,7 @@
         tenants: Mapping[str, int],
         waits: Sequence[int],
         connect_within: int,
-        classes: Sequence[ProfileRow] = (),
+        classes: Sequence[RequestClassSettings] = (),
     ) -> None:
         self.context = context
         self.guard = RequestGuard(context.invariants, context.clock, classes, boxes.listed, boxes.eps.names)
@@ -201,7 +201,7 @@
         if opening.returning:
             self.refugees.add(self.clock(), 1)
         if not self.module.tell(
-            self.module.balancer.tunnel_arrived,
+            self.module.balancer.connection_requested,
             tun,
             profile,
             tenant,
@@ -236,7 +236,7 @@
             tunnel.request.attempt_ended(outcome)
             if tunnel.known:
                 self.module.tell(
-                    self.module.balancer.setup_ended,
+                    self.module.balancer.attempt_ended,
                     tun,
                     setup.ep,
                     True,
@@ -265,7 +265,7 @@
         else:
             if age < ADOPT_AGAIN:
                 # The first call may be put off, as all relays start together; who waits for it may not.
-                self.module.watch()
+                self.module.request_list()
             self.timers.after(ADOPT_AGAIN, self._adopt, tun)
 
     # -- what the backends' side tells -------------------------------------------------------------
@@ -304,12 +304,12 @@
         client.transport.registerProducer(setup.transport, True)
         setup.transport.registerProducer(client.transport, True)
         if tunnel.known:
-            self.module.tell(self.module.balancer.opened, tun, took)
+            self.module.tell(self.module.balancer.connection_opened, tun, took)
         else:
             opening = tunnel.opening
             tunnel.known = True
             self.module.tell(
-                self.module.balancer.adopted,
+                self.module.balancer.connection_adopted,
                 tun,
                 tunnel.profile,
                 tunnel.tenant,
@@ -334,7 +334,7 @@
             except ValueError:
                 self.context.rate_limited_log.about("backend", f"no load: {line[:80]!r}")
                 continue
-            self.module.tell(self.module.balancer.load_told, tun, load)
+            self.module.tell(self.module.balancer.load_changed, tun, load)
 
     def setup_over(
         self, tun: int, ep: int, outcome: Outcome, took: int, report: LoadReport | None, abrupt: bool
@@ -342,7 +342,7 @@
         tunnel = self.table.get(tun)
         if tunnel is None:
             # No slot was found for it, and its client has left since. The module counts it still.
-            self.module.tell(self.module.balancer.setup_ended, tun, ep, True, outcome, took, report)
+            self.module.tell(self.module.balancer.attempt_ended, tun, ep, True, outcome, took, report)
             return
         logger.debug(
             "tunnel {} at {}: {} after {} ms, up {}",
@@ -371,7 +371,7 @@
             else:
                 self.close_with_error(tun)
             return
-        if not self.module.tell(self.module.balancer.setup_ended, tun, ep, was_open, outcome, took, report):
+        if not self.module.tell(self.module.balancer.attempt_ended, tun, ep, was_open, outcome, took, report):
             self.abandon(tun)
         if was_open:
             self._free(tun)
@@ -384,12 +384,12 @@
         tunnel = self.table.get(tun)
         self._counts["silent"] += 1
         logger.info("silent: {}", self.guard.story(tunnel.request))
-        self.module.tell(self.module.balancer.silent, tun)
+        self.module.tell(self.module.balancer.connection_unresponsive, tun)
 
     # -- the end of a tunnel -----------------------------------------------------------------------
 
     def _moved(self, tun: int, ep: int, took: int) -> None:
-        self.module.tell(self.module.balancer.setup_ended, tun, ep, True, Outcome.CANCELLED, took, None)
+        self.module.tell(self.module.balancer.attempt_ended, tun, ep, True, Outcome.CANCELLED, took, None)
         self._free(tun)
 
     def _part(self, tunnel: Tunnel, over: bool = True) -> None:
--- a/cedarledge/policy/backends.py
+++ b/cedarledge/policy/backends.py
@@ -3,49 +3,54 @@
 import math
 
 from cedarledge.policy.state import Backend, Connection, State
-from cedarledge.terms import SECOND, BackendState, Listed, ListForm
+from cedarledge.terms import SECOND, BackendEntry, BackendState, ListForm
 
 DRAIN_TIME = 4 * SECOND  # a draining backend ends soon, and cuts off many by itself
 WEIGHT_STEPS = 2  # ranks in a doubling of weights: all relays would fill the one that is a hair ahead
 
 
-def update(state: State, now: int, form: ListForm, entries: list[Listed]) -> None:
+def update(state: State, now: int, form: ListForm, entries: list[BackendEntry]) -> None:
     """Follows the list."""
-    named = {entry.ep for entry in entries}
+    named = {entry.backend_id for entry in entries}
     for backend_id in state.backends.keys() - named if form is not ListForm.CHANGES else ():
         state.backends[backend_id].state = BackendState.GONE
-    add(state, [entry.ep for entry in entries])
+    add(state, [entry.backend_id for entry in entries])
     for entry in entries:
-        _follow(state, now, state.backends[entry.ep], entry)
+        _follow(state, now, state.backends[entry.backend_id], entry)
     form_cells(state)
 
 
 def add(state: State, backend_ids: list[int]) -> None:
     """Adds those not known yet, in an order of its own: or all relays would probe the same one at once."""
-    fresh = [Backend(new, state.chance()) for new in backend_ids if new not in state.backends]
+    fresh = [Backend(new, state.random()) for new in backend_ids if new not in state.backends]
     state.backends |= {backend.backend_id: backend for backend in fresh}
     fresh.sort(key=lambda backend: backend.tie_break)
     state.probe_order |= {backend.backend_id: backend for backend in fresh}
 
 
-def _follow(state: State, now: int, backend: Backend, entry: Listed) -> None:
-    if backend.started_at not in (-1, entry.started):
+def _follow(state: State, now: int, backend: Backend, entry: BackendEntry) -> None:
+    if backend.started_at not in (-1, entry.started_at):
         backend.reset()
-    backend.cell, backend.zone, backend.kind, backend.hash_id = entry.cell, entry.zone, entry.kind, entry.mark
-    backend.weight = entry.weight if state.settings.ranked else 1.0
-    if entry.standing is BackendState.DRAINING and backend.state is not BackendState.DRAINING:
+    backend.cell, backend.zone, backend.host_type, backend.hash_id = (
+        entry.cell,
+        entry.zone,
+        entry.host_type,
+        entry.hash_id,
+    )
+    backend.weight = entry.weight if state.settings.weighted else 1.0
+    if entry.state is BackendState.DRAINING and backend.state is not BackendState.DRAINING:
         backend.drain_by = now + DRAIN_TIME
-    backend.started_at, backend.state = entry.started, entry.standing
-    backend.cold_until = entry.started + state.settings.warm_within if entry.started > 0 else 0
+    backend.started_at, backend.state = entry.started_at, entry.state
+    backend.cold_until = entry.started_at + state.settings.warmup_duration if entry.started_at > 0 else 0
     if backend.tokens_at < 0:
-        backend.tokens, backend.tokens_at = state.chance(), 0
+        backend.tokens, backend.tokens_at = state.random(), 0
 
 
 def form_cells(state: State) -> None:
     """Sorts the backends that may take new connections into cells, the heaviest first."""
     ready = [backend for backend in state.backends.values() if backend.state is BackendState.READY]
     # All aside is a slip that would close the site, so it is not followed.
-    offered = [backend for backend in ready if backend.backend_id not in state.external.aside] or ready
+    offered = [backend for backend in ready if backend.backend_id not in state.external.excluded] or ready
     state.cells = {}
     for backend in offered:
         state.cells.setdefault(backend.cell, []).append(backend)
--- a/cedarledge/policy/balancer.py
+++ b/cedarledge/policy/balancer.py
@@ -4,7 +4,7 @@
 
 from cedarledge import terms
 from cedarledge.policy import backends, ejection, placement, probing, rebalance, retries, trials, utilization
-from cedarledge.policy.estimators import relative_load, usual_load
+from cedarledge.policy.estimators import mean_load, relative_load
 from cedarledge.policy.state import SETTLING_TIME, TICK, Backend, Connection, State
 from cedarledge.terms import SECOND, ListForm, Outcome
 
@@ -17,33 +17,33 @@
 
     choose = staticmethod(placement.choose)
     record_failure = staticmethod(ejection.record_failure)
-    relieve = staticmethod(rebalance.tick)
+    rebalance_connections = staticmethod(rebalance.tick)
 
     def __init__(self, host: terms.PolicyHost, settings: terms.DeploymentSettings) -> None:
         self.state = State(host, settings)
-        self.chance = self.state.chance
+        self.random = self.state.random
         self.counts = {"rank": 0, "skip": 0, "spill": 0, "fewest": 0, "last": 0, "trial": 0}  # by rule
-        self.next_log = settings.now + LOG_INTERVAL
-        if settings.must_ask:
+        self.next_log = settings.start_time + LOG_INTERVAL
+        if settings.requests_list:
             first_within = min(retries.LIST_RETRY, retries.LIST_SPREAD * settings.relays)
-            host.wake(int(self.chance() * first_within), LIST_TOKEN)
-        host.wake(int(TICK * (0.5 + 0.5 * self.chance())), TICK_TOKEN)
+            host.set_timer(int(self.random() * first_within), LIST_TOKEN)
+        host.set_timer(int(TICK * (0.5 + 0.5 * self.random())), TICK_TOKEN)
 
-    def list_changed(self, now: int, form: ListForm, entries: list[terms.Listed]) -> None:
+    def list_changed(self, now: int, form: ListForm, entries: list[terms.BackendEntry]) -> None:
         """The list tells of backends, or can't be had."""
         if form is ListForm.UNAVAILABLE:
-            self.state.host.wake(retries.list_delay(self.state), LIST_TOKEN)
+            self.state.host.set_timer(retries.list_delay(self.state), LIST_TOKEN)
             return
         if form is not ListForm.RESTORED:
             self.state.list_delay = 0
         backends.update(self.state, now, form, entries)
 
-    def knows(self, now: int, view: terms.ExternalView) -> None:
+    def external_view_changed(self, now: int, view: terms.ExternalView) -> None:
         """What other subsystems know beside the list has changed."""
         self.state.external = view
         backends.form_cells(self.state)
 
-    def tunnel_arrived(
+    def connection_requested(
         self,
         now: int,
         connection_id: int,
@@ -58,8 +58,8 @@
         """A client asks for a connection; the hint is its usual load."""
         state = self.state
         if hint is not None:
-            state.loads[request_class].add(now, hint)
-        load = usual_load(state.loads, now, request_class) if hint is None else hint
+            state.class_loads[request_class].add(now, hint)
+        load = mean_load(state.class_loads, now, request_class) if hint is None else hint
         group = group if state.settings.grouped else None
         connection = Connection(connection_id, request_class, tenant, key, group, load, now + time_budget)
         target = state.settings.profiles[request_class].setup_goal
@@ -71,7 +71,7 @@
             state.offered[request_class].add(now, 1)
         self._place(now, connection)
 
-    def adopted(
+    def connection_adopted(
         self,
         now: int,
         connection_id: int,
@@ -85,7 +85,7 @@
         """A connection from before this relay's start is open again."""
         state = self.state
         if hint is not None:
-            state.loads[request_class].add(now, hint)
+            state.class_loads[request_class].add(now, hint)
         state.settling_until = 0  # it has its share from the start
         state.offered[request_class].add(now, 1)
         group = group if state.settings.grouped else None
@@ -118,18 +118,18 @@
             timeout = retries.timeout(state, now, connection)
             connection.attempted_at = now
             trials.record_attempt(state, now)
-            choice.backend.tokens -= relative_load(state.loads, now, connection.load)
+            choice.backend.tokens -= relative_load(state.class_loads, now, connection.load)
             choice.backend.pending += 1
             state.in_flight += 1
             backends.hold(state, now, connection, choice.backend)
-            state.host.send(connection.connection_id, choice.backend.backend_id, timeout)
+            state.host.attempt(connection.connection_id, choice.backend.backend_id, timeout)
 
     def _wait_for_probe(self, now: int, connection: Connection, backend: Backend) -> None:
-        self.state.waiting[connection.connection_id] = backend
+        self.state.awaiting_probe[connection.connection_id] = backend
         probing.probe(self.state, now, backend)
-        self.state.host.wake(connection.probe_by - now, PROBE_TOKEN)
+        self.state.host.set_timer(connection.probe_by - now, PROBE_TOKEN)
 
-    def opened(self, now: int, connection_id: int, took: int) -> None:
+    def connection_opened(self, now: int, connection_id: int, took: int) -> None:
         """An attempt has opened."""
         connection = self.state.connections.get(connection_id)
         if not connection or not connection.backend or connection.opened_at:
@@ -144,7 +144,7 @@
         self.state.openings.add(now, 1)
         retries.learn_time(self.state, now, took)
 
-    def setup_ended(
+    def attempt_ended(
         self,
         now: int,
         connection_id: int,
@@ -179,7 +179,7 @@
         if how not in terms.NEVER_RAN and not connection.executed_by:
             connection.executed_by, connection.executed_at = backend, connection.attempted_at
         if how is Outcome.NOT_SENT:
-            backend.tokens += relative_load(self.state.loads, now, connection.load)
+            backend.tokens += relative_load(self.state.class_loads, now, connection.load)
         elif how is Outcome.FULL:
             backend.mark_busy(now)
         elif how is Outcome.TIMEOUT:  # counts as a slow one, or a slow shared store would never be waited for
@@ -195,8 +195,8 @@
         if len(connection.suspects) == 1:
             self.record_failure(state, now, connection.suspects[0])
         if retries.may_reject(state, connection):
-            retry_after = int(state.settings.come_back_max * (0.5 + 0.5 * state.chance()))
-            state.host.decline(connection.connection_id, retry_after)
+            retry_after = int(state.settings.max_retry_after * (0.5 + 0.5 * state.random()))
+            state.host.reject(connection.connection_id, retry_after)
         else:
             state.host.close_with_error(connection.connection_id)
         if not connection.backend:
@@ -209,63 +209,67 @@
             connection.ended = True
             if not connection.backend:
                 del self.state.connections[connection_id]
-                self.state.waiting.pop(connection_id, None)
+                self.state.awaiting_probe.pop(connection_id, None)
 
-    def load_told(self, now: int, connection_id: int, load: float) -> None:
+    def load_changed(self, now: int, connection_id: int, load: float) -> None:
         """The load of a connection has changed."""
         connection = self.state.connections.get(connection_id)
         if connection and connection.backend:
-            self.state.loads[connection.request_class].add(now, load)
+            self.state.class_loads[connection.request_class].add(now, load)
             backend = connection.backend
             if not connection.load and 0 < connection.opened_at <= backend.reported_at:
                 backend.load_at_report += load  # the report has it; only this relay did not know it
             backend.load += load - connection.load
             connection.load = load
 
-    def silent(self, now: int, connection_id: int) -> None:
+    def connection_unresponsive(self, now: int, connection_id: int) -> None:
         """Lines on an open connection get no answer: a hung or vanished backend, which nothing else tells."""
         connection = self.state.connections.get(connection_id)
         if connection and connection.opened_at and not connection.moved:
             rebalance.move(self.state, connection)
 
-    def delay_told(self, now: int, backend_id: int, delay: int) -> None:
+    def message_delay_changed(self, now: int, backend_id: int, delay: int) -> None:
         """A backend answers messages after a delay."""
-        backend, tightest = self.state.backends[backend_id], self.state.settings.tightest
+        backend, shortest_goal = self.state.backends[backend_id], self.state.settings.shortest_message_goal
         backend.delay, backend.delay_at = delay, now
-        if tightest and delay > tightest // 2:  # told at once, where a report may be a round of probes old
+        if (
+            shortest_goal and delay > shortest_goal // 2
+        ):  # told at once, where a report may be a round of probes old
             backend.mark_busy(now, rebalance.DELAY_AGE)
 
-    def probed(self, now: int, backend_id: int, answered: bool, report: terms.LoadReport) -> None:
+    def probe_ended(self, now: int, backend_id: int, answered: bool, report: terms.LoadReport) -> None:
         """A probe has been answered, or has failed."""
         backend = self.state.backends[backend_id]
         if answered:
             utilization.learn(self.state, now, backend, report)
         else:  # too busy, hung or gone: the list would say so seconds later, if at all
             backend.mark_busy(now)
-        self._place_waiting(now, [key for key, probed in self.state.waiting.items() if probed is backend])
+        self._place_waiting(
+            now, [key for key, probed in self.state.awaiting_probe.items() if probed is backend]
+        )
 
     def _place_waiting(self, now: int, waiting: list[int]) -> None:
         for connection_id in waiting:
-            if self.state.waiting.pop(connection_id, None):
+            if self.state.awaiting_probe.pop(connection_id, None):
                 self._place(now, self.state.connections[connection_id])
 
-    def stopping(self, now: int, within: int) -> None:
+    def drain_started(self, now: int, within: int) -> None:
         """It ends or is out of service: all are sent away by then, and who comes later is rejected."""
         self.state.stop_by, self.state.unrepresentative_until = now + within, math.inf
 
-    def staying(self, now: int) -> None:
+    def drain_cancelled(self, now: int) -> None:
         """It is back in service, and who is still here stays. It holds less than its share for a while."""
         self.state.stop_by = 0
         self.state.settling_until = self.state.unrepresentative_until = now + SETTLING_TIME
 
-    def woke(self, now: int, token: int) -> None:
+    def timer_fired(self, now: int, token: int) -> None:
         """The time has come that the balancer asked to be woken at."""
         if token == LIST_TOKEN:
-            self.state.host.watch()
+            self.state.host.request_list()
         elif token == PROBE_TOKEN:
             self._place_waiting(now, probing.time_out(self.state, now))
         else:
-            self.state.host.wake(TICK, TICK_TOKEN)
+            self.state.host.set_timer(TICK, TICK_TOKEN)
             self._tick(now)
 
     def _tick(self, now: int) -> None:
@@ -281,4 +285,4 @@
         for backend in list(state.holding.values()):
             if backend.state is terms.BackendState.DRAINING:
                 rebalance.drain(state, now, backend.connections, backend.drain_by)
-        self.relieve(state, now)
+        self.rebalance_connections(state, now)
--- a/cedarledge/policy/cells.py
+++ b/cedarledge/policy/cells.py
@@ -12,12 +12,12 @@
 UINT64 = 2**64 - 1
 
 
-def digest_of(text: str) -> int:
+def hash64(text: str) -> int:
     """A 64-bit hash that every relay gets for the same text."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-def draw_of(digest: int, salt: int) -> float:
+def unit_hash(digest: int, salt: int) -> float:
     """A number in (0, 1) that every relay gets for the same digest and salt: splitmix64's last steps."""
     mixed = (digest ^ (salt + 1) * 0x9E3779B97F4A7C15) & UINT64
     mixed = (mixed ^ mixed >> 30) * 0xBF58476D1CE4E5B9 & UINT64
@@ -30,12 +30,12 @@
     settings, cells = state.settings, state.cells
     if connection.ranked_revision == state.revision:
         return
-    seed = digest_of(connection.group or connection.key or str(state.chance()))
+    seed = hash64(connection.group or connection.key or str(state.random()))
     # A group that lies in two zones is paid for in both: not while this one is nearly full, nor in more.
-    local_first = settings.crossing >= COSTLY_CROSSING and 0 <= state.local_load < FULL_WITH_GROUPS
-    if connection.group is not None and settings.zones > MOST_GROUP_ZONES:
+    local_first = settings.cross_zone_cost >= COSTLY_CROSSING and 0 <= state.local_load < FULL_WITH_GROUPS
+    if connection.group is not None and settings.zone_count > MOST_GROUP_ZONES:
         local_first = False
-    order = {cell: len(backends) / math.log(draw_of(seed, cell)) for cell, backends in cells.items()}
+    order = {cell: len(backends) / math.log(unit_hash(seed, cell)) for cell, backends in cells.items()}
     ranked = sorted(
         cells, key=lambda cell: (local_first and cells[cell][0].zone != settings.zone, order[cell])
     )
@@ -52,4 +52,4 @@
 
 def group_rank(connection: Connection, backend: Backend) -> float:
     """A backend's place in the order of the connection's group, the same at every relay."""
-    return backend.weight / math.log(draw_of(connection.hash_seed, backend.hash_id))
+    return backend.weight / math.log(unit_hash(connection.hash_seed, backend.hash_id))
--- a/cedarledge/policy/ejection.py
+++ b/cedarledge/policy/ejection.py
@@ -19,7 +19,7 @@
     """Leaves a backend out, for twice as long each time."""
     backend.ejections += 1
     span = min(FIRST_EJECTION << min(backend.ejections - 1, 6), LONGEST_EJECTION)
-    backend.ejected_until = now + int(span * (0.8 + 0.4 * state.chance()))
+    backend.ejected_until = now + int(span * (0.8 + 0.4 * state.random()))
 
 
 def is_shared(state: State, now: int) -> bool:
--- a/cedarledge/policy/estimators.py
+++ b/cedarledge/policy/estimators.py
@@ -43,7 +43,7 @@
     return sum(ratio.amount.read(now) for ratio in ratios) / weight if weight > 0.1 else None
 
 
-def usual_load(loads: list[DecayingRatio], now: int, request_class: int) -> float:
+def mean_load(loads: list[DecayingRatio], now: int, request_class: int) -> float:
     """The usual load of a connection of a class, or of any class; 0 while unknown."""
     load = mean(loads[request_class : request_class + 1], now)
     return mean(loads, now) or 0.0 if load is None else load
--- a/cedarledge/policy/placement.py
+++ b/cedarledge/policy/placement.py
@@ -28,7 +28,7 @@
 def _choose_with_room(state: State, now: int, connection: Connection) -> Choice | None:
     limit = _busy_limit(state, now, connection)
     cells.rank(state, connection)
-    size = estimators.relative_load(state.loads, now, connection.load)
+    size = estimators.relative_load(state.class_loads, now, connection.load)
     is_shed = not connection.tried and shedding.sheds(state, connection)
     fallback, allowed = None, list[Backend]()
     for place, cell in enumerate(connection.cells):
@@ -58,7 +58,7 @@
     A group is paid for once more at each backend that holds any of it. So its connection goes to a backend
     that holds it here, else to the first in the group's order, where the other relays have it.
     """
-    size = estimators.relative_load(state.loads, now, connection.load)
+    size = estimators.relative_load(state.class_loads, now, connection.load)
 
     def load(backend: Backend) -> float:
         return utilization.cautious(state, now, backend)
--- a/cedarledge/policy/probing.py
+++ b/cedarledge/policy/probing.py
@@ -45,9 +45,9 @@
 def time_out(state: State, now: int) -> list[int]:
     """The connections that have waited too long for a probe: what is late is no better at taking them."""
     # A host may count in coarser units and wake a little early; one passed over then would be lost.
-    late = [waiting for waiting in state.waiting if now > state.connections[waiting].probe_by - MS]
+    late = [waiting for waiting in state.awaiting_probe if now > state.connections[waiting].probe_by - MS]
     for connection_id in late:
-        state.waiting[connection_id].mark_busy(now)
+        state.awaiting_probe[connection_id].mark_busy(now)
     return late
 
 
@@ -88,7 +88,9 @@
 def _interval(state: State, now: int) -> int:
     """The time between steady probes: a relay with few arrivals needs few, and has many beside it."""
     wanted = SECOND / max(PROBES_PER_ARRIVAL * state.arrival_rate(now), 0.1)
-    if not state.settings.delays_told:  # only a probe tells of a slow backend, to its open connections
+    if (
+        not state.settings.message_delays_known
+    ):  # only a probe tells of a slow backend, to its open connections
         wanted = HELD_ROUND / max(1, len(state.holding))
     return int(min(max(SHORTEST_INTERVAL, wanted), LONGEST_INTERVAL))
 
--- a/cedarledge/policy/rebalance.py
+++ b/cedarledge/policy/rebalance.py
@@ -27,7 +27,7 @@
     """Moves a tick's part of the connections: all are to be gone by then, and not come back as one wave."""
     staying = [one for one in held.values() if one.opened_at and not one.moved]
     # One among dozens of relays holds one or two there. Rounded up, all would send them away in one tick.
-    for connection in staying[: int(len(staying) * TICK / max(TICK, by - now) + state.chance())]:
+    for connection in staying[: int(len(staying) * TICK / max(TICK, by - now) + state.random())]:
         move(state, connection)
 
 
@@ -52,7 +52,7 @@
     """The part of its load that is to go: each relay takes it of its own, so together they take it once."""
     # A move costs its client: a guess at what changed since the report brings a probe, never a move.
     load, target = min(backend.reported, utilization.current(state, now, backend)), shedding.TARGET_LOAD
-    is_late = now - backend.delay_at < DELAY_AGE and backend.delay > state.settings.tightest > 0
+    is_late = now - backend.delay_at < DELAY_AGE and backend.delay > state.settings.shortest_message_goal > 0
     if is_late:  # until the queued work is done nobody there is served, however little is asked
         load, target = max(load, 1.0), max(0.0, target - backend.delay / QUEUE_DRAIN_TIME)
     is_known = is_late or now - backend.reported_at < REPORT_AGE
@@ -67,7 +67,7 @@
         for connection in (one for one in settled if shedding.sheds(state, one)):
             load = utilization.current(state, now, backend) + (now < backend.busy_until)
             found.append((load, connection.load, connection.connection_id))
-    most = min(MOVES_PER_TICK, int(SHED_PER_TICK * len(state.connections) + state.chance()))
+    most = min(MOVES_PER_TICK, int(SHED_PER_TICK * len(state.connections) + state.random()))
     for *_, connection_id in sorted(found, reverse=True)[:most]:
         move(state, state.connections[connection_id])
 
@@ -82,7 +82,7 @@
         load = connection.load
         if moved >= most or load <= 0:
             break
-        if load <= surplus or (draws and state.chance() * load < surplus):
+        if load <= surplus or (draws and state.random() * load < surplus):
             draws = draws and load <= surplus
             surplus = max(0.0, surplus - load)
             moved += 1
--- a/cedarledge/policy/retries.py
+++ b/cedarledge/policy/retries.py
@@ -33,7 +33,7 @@
         return False
     effect = state.settings.profiles[connection.request_class].effect
     is_spent = connection.executed_by and effect is Effect.ONCE_ONLY
-    if is_spent or len(connection.tried) >= state.settings.most_setups or now >= connection.deadline:
+    if is_spent or len(connection.tried) >= state.settings.max_attempts or now >= connection.deadline:
         return False
     state.retries.add(now, 1)
     return True
@@ -43,7 +43,7 @@
     """The next attempt's time-out: a hung backend must leave time for another one."""
     row = state.settings.profiles[connection.request_class]
     left = max(0, connection.deadline - now)
-    is_last = row.effect is Effect.ONCE_ONLY or len(connection.tried) + 1 >= state.settings.most_setups
+    is_last = row.effect is Effect.ONCE_ONLY or len(connection.tried) + 1 >= state.settings.max_attempts
     if is_last or ejection.is_shared(state, now):
         return left
     count, total = state.attempt_times.weight.read(now), state.attempt_times.amount.read(now)
@@ -61,7 +61,9 @@
 
 def list_delay(state: State) -> int:
     """How long to wait for the next call for the list: twice as long each time, by chance, as all lose it."""
-    longest = state.settings.ask_every or 2 * LIST_RETRY  # after which what a reset watch misses counts
+    longest = (
+        state.settings.list_request_interval or 2 * LIST_RETRY
+    )  # after which what a reset watch misses counts
     first = max(LIST_SPREAD, min(LIST_RETRY, longest // 2))
     state.list_delay = min(2 * state.list_delay or first, max(SECOND, longest))
-    return int(state.list_delay * (0.5 + state.chance()))
+    return int(state.list_delay * (0.5 + state.random()))
--- a/cedarledge/policy/shedding.py
+++ b/cedarledge/policy/shedding.py
@@ -1,7 +1,7 @@
 """Load shedding: which part of the load is rejected while the fleet is full, so that the rest is served."""
 
-from cedarledge.policy.cells import digest_of, draw_of
-from cedarledge.policy.estimators import usual_load
+from cedarledge.policy.cells import hash64, unit_hash
+from cedarledge.policy.estimators import mean_load
 from cedarledge.policy.state import TICK, Connection, State
 from cedarledge.policy.utilization import FULL, FULL_WITH_GROUPS
 from cedarledge.terms import SECOND
@@ -21,13 +21,13 @@
     if connection.shed_draw is None:
         # So the same clients are told no each time, and groups whole: they are paid for until the last goes.
         key = connection.group or connection.key
-        connection.shed_draw = draw_of(digest_of(key), ORDER_SALT) if key else state.chance()
+        connection.shed_draw = unit_hash(hash64(key), ORDER_SALT) if key else state.random()
     start, width = state.shed_order[connection.request_class]
     place = start + width * connection.shed_draw
-    tenant, quotas = connection.tenant, state.settings.quotas
+    tenant, quotas = connection.tenant, state.settings.tenant_quotas
     quota = quotas[tenant] if tenant is not None and tenant < len(quotas) else 0
     if quota and state.by_tenant[tenant] >= quota / state.settings.relays:
-        place *= state.settings.over_share_credit
+        place *= state.settings.over_quota_credit_factor
     return place
 
 
@@ -37,7 +37,7 @@
     if fleet <= (FULL_WITH_GROUPS if grouped else FULL) and not state.shed_fraction:
         return
     classes = state.settings.profiles
-    usual = [usual_load(state.loads, now, index) or 1.0 for index in range(len(classes))]
+    usual = [mean_load(state.class_loads, now, index) or 1.0 for index in range(len(classes))]
     asked = [load * (offered.read(now) + 0.1) for load, offered in zip(usual, state.offered, strict=True)]
     total, start = sum(asked), 0.0
     for index in sorted(range(len(classes)), key=lambda index: classes[index].credit / usual[index]):
--- a/cedarledge/policy/slow_start.py
+++ b/cedarledge/policy/slow_start.py
@@ -19,7 +19,7 @@
         seen = warm
     if load:
         held = sum(backend.open - backend.pending for backend in seen)  # pending ones bring no load yet
-        rate = held / load / (state.settings.warm_within / SECOND)
+        rate = held / load / (state.settings.warmup_duration / SECOND)
         state.fill_rate = max(rate, state.fill_rate) if now < state.unrepresentative_until else rate
 
 
@@ -28,9 +28,12 @@
     settings = state.settings
     if not backend.is_cold(now):
         return True
-    part = settings.cold_from + (1 - settings.cold_from) * (now - backend.started_at) / settings.warm_within
+    part = (
+        settings.cold_capacity_share
+        + (1 - settings.cold_capacity_share) * (now - backend.started_at) / settings.warmup_duration
+    )
     gap = state.ready / len(state.cells[backend.cell]) / max(state.arrival_rate(now), 0.01)
-    pace = SAFETY_FACTOR * settings.fall_multiple * part * state.fill_rate
+    pace = SAFETY_FACTOR * settings.overload_multiple * part * state.fill_rate
     # Tokens start by chance below one, so that all relays together keep the pace of one; a connection brings
     # what grew since the cell's last one usually came: by time alone most would lie unused.
     backend.tokens = min(backend.tokens + pace * min((now - backend.tokens_at) / SECOND, gap), 1.0 + size)
--- a/cedarledge/policy/state.py
+++ b/cedarledge/policy/state.py
@@ -22,7 +22,7 @@
 
     def __init__(self, backend_id: int, tie_break: float) -> None:
         self.backend_id, self.tie_break, self.state = backend_id, tie_break, BackendState.GONE
-        self.cell = self.zone = self.kind = self.hash_id = self.started_at = -1
+        self.cell = self.zone = self.host_type = self.hash_id = self.started_at = -1
         self.cold_until = self.probed_at = self.open = self.pending = 0
         self.weight, self.load, self.recent_load = 1.0, 0.0, DecayingSum(SECOND)
         self.connections, self.groups = dict[int, Connection](), Counter[str]()
@@ -83,9 +83,11 @@
 
     def __init__(self, host: PolicyHost, settings: DeploymentSettings) -> None:
         self.host, self.settings, self.external = host, settings, ExternalView()
-        self.chance = random.Random(settings.seed).random
+        self.random = random.Random(settings.seed).random
         self.stop_by = self.list_delay = 0  # when all clients are to be gone, 0: in service
-        self.settling_until = settings.now + SETTLING_TIME  # until then guesses beyond reports are capped
+        self.settling_until = (
+            settings.start_time + SETTLING_TIME
+        )  # until then guesses beyond reports are capped
         self.unrepresentative_until = 0.0  # until then it unlearns no capacity and lowers no rate
         self.backends, self.holding = (
             dict[int, Backend](),
@@ -95,24 +97,32 @@
         self.report_order: dict[int, Backend] = {}  # those that have reported, the latest last
         self.cells: dict[int, list[Backend]] = {}  # those that may take new connections
         self.ready = self.revision = 0  # backends in cells; changes of the cells
-        self.connections, self.waiting = dict[int, Connection](), dict[int, Backend]()  # for a probe of that
+        self.connections, self.awaiting_probe = (
+            dict[int, Connection](),
+            dict[int, Backend](),
+        )  # for a probe of that
         self.by_tenant, self.groups = Counter[int | None](), Counter[str]()
-        self.attempted_at, self.unattempted = settings.now, deque[UnattemptedArrival](maxlen=MOST_UNATTEMPTED)
+        self.attempted_at, self.unattempted = (
+            settings.start_time,
+            deque[UnattemptedArrival](maxlen=MOST_UNATTEMPTED),
+        )
         self.arrivals, self.retries = DecayingSum(10 * SECOND), DecayingSum(10 * SECOND)
         self.arrivals_per_backend = self.fill_rate = 0.0  # a second
         self.offered = [DecayingSum(60 * SECOND) for _ in settings.profiles]  # arrivals, no returning clients
-        self.loads = [DecayingRatio(60 * SECOND) for _ in settings.profiles]
+        self.class_loads = [DecayingRatio(60 * SECOND) for _ in settings.profiles]
         self.attempt_times, self.attempt_spread = DecayingRatio(20 * SECOND), DecayingSum(20 * SECOND)
-        self.capacity: defaultdict[int, DecayingRatio] = defaultdict(lambda: DecayingRatio(40 * SECOND))
+        self.host_type_capacity: defaultdict[int, DecayingRatio] = defaultdict(
+            lambda: DecayingRatio(40 * SECOND)
+        )
         self.fleet_load, self.local_load, self.fleet_load_until = -1.0, -1.0, 0  # below 0: unknown
         self.evidence = 0.0  # how far the reports behind these are a sample of the fleet, up to 1
         self.failures, self.openings = DecayingSum(3 * SECOND), DecayingSum(3 * SECOND)
         self.in_flight, self.window = 0, math.inf  # attempts, and how many a shared failure bears
         self.shed_fraction, self.shed_order = 0.0, [(0.0, 1.0)] * len(settings.profiles)  # start, width
-        self.next_probe = self.next_doubtful_probe = settings.now
+        self.next_probe = self.next_doubtful_probe = settings.start_time
 
     def arrival_rate(self, now: int) -> float:
         """Arrivals a second, seen over no more than the time since the relay's start."""
         lifetime = self.arrivals.lifetime
-        seen = lifetime * (1 - math.exp((self.settings.now - now - MS) / lifetime))
+        seen = lifetime * (1 - math.exp((self.settings.start_time - now - MS) / lifetime))
         return self.arrivals.read(now) * SECOND / seen
--- a/cedarledge/policy/utilization.py
+++ b/cedarledge/policy/utilization.py
@@ -23,13 +23,13 @@
 
 def capacity(state: State, now: int, backend: Backend) -> float:
     """Work a second that a backend can do now, guessed from the load here times the relays; 0: unknown."""
-    kind, own = state.capacity[backend.kind], backend.capacity
+    kind, own = state.host_type_capacity[backend.host_type], backend.capacity
     if kind.weight.read(now) < 0.5:
         return 0.0
     usual = kind.amount.read(now) / kind.weight.read(now)
     # The evidence is the connections here, however often a report is made of the same few: of one or two,
     # as one relay among hundreds has, the guess says more of where they are than of what the backend can do.
-    held_by_full_one = usual / state.settings.relays / (estimators.mean(state.loads, now) or usual)
+    held_by_full_one = usual / state.settings.relays / (estimators.mean(state.class_loads, now) or usual)
     kind_weight = max(KIND_WEIGHT, KIND_CONNECTIONS * backend.reports.read(now) / max(held_by_full_one, 0.01))
     # What it showed lately outweighs its kind: one that turns slow is idle once its clients are moved away.
     return (own.amount.read(now) + kind_weight * usual) / (own.weight.read(now) + kind_weight)
@@ -60,12 +60,12 @@
     backend.reported_at = now
     state.report_order.pop(backend.backend_id, None)
     state.report_order[backend.backend_id] = backend
-    load = report.busy_share if report.asked is None else report.asked
+    load = report.busy_share if report.offered_load is None else report.offered_load
     if load is None:
         return
-    backend.reported = load = max(load, 1.0 + report.piled_up / SECOND) if report.piled_up else load
+    backend.reported = load = max(load, 1.0 + report.queue_delay / SECOND) if report.queue_delay else load
     backend.load_at_report = backend.load - max(0.0, backend.recent_load.read(now))
-    kind, relays = state.capacity[backend.kind], state.settings.relays
+    kind, relays = state.host_type_capacity[backend.host_type], state.settings.relays
     if now < state.unrepresentative_until and kind.weight.read(now) >= 0.5:
         return  # it holds little of what the report tells of, and would take that for weakness
     backend.reports.add(now, 1)
@@ -80,8 +80,8 @@
     Its own guess would give most say to the backends where this relay's connections are, so that each relay
     goes by a mean of its own.
     """
-    known = estimators.mean([state.capacity[backend.kind]], now)
-    known = known or estimators.mean(list(state.capacity.values()), now) or 1.0
+    known = estimators.mean([state.host_type_capacity[backend.host_type]], now)
+    known = known or estimators.mean(list(state.host_type_capacity.values()), now) or 1.0
     shown = capacity(state, now, backend)
     return shown if 0 < shown < SLOW * known else known
 
--- a/cedarledge/rig/baselines.py
+++ b/cedarledge/rig/baselines.py
@@ -16,7 +16,7 @@
 
 from cedarledge.net.reactor import install_reactor
 from cedarledge.policy import Balancer
-from cedarledge.policy.cells import digest_of, draw_of
+from cedarledge.policy.cells import hash64, unit_hash
 from cedarledge.policy.placement import Choice
 from cedarledge.policy.retries import may_attempt
 from cedarledge.policy.state import Backend, Connection, State
@@ -48,7 +48,7 @@
     def record_failure(self, state: State, now: int, backend: Backend) -> None:
         """Nobody is ejected."""
 
-    def relieve(self, state: State, now: int) -> None:
+    def rebalance_connections(self, state: State, now: int) -> None:
         """No moves but off draining backends."""
 
 
@@ -56,7 +56,7 @@
     """Any ready backend."""
 
     def choose_among(self, connection: Connection, backends: list[Backend]) -> Backend:
-        return backends[int(self.chance() * len(backends))]
+        return backends[int(self.random() * len(backends))]
 
 
 class FewestBalancer(PlainBalancer):
@@ -70,10 +70,10 @@
     """The key's backend by rendezvous hashing, and the next one for each further attempt."""
 
     def choose_among(self, connection: Connection, backends: list[Backend]) -> Backend:
-        seed = digest_of(connection.key or str(self.chance()))
+        seed = hash64(connection.key or str(self.random()))
 
         def rank(backend: Backend) -> float:
-            return backend.weight / -math.log(draw_of(seed, backend.hash_id ^ ALONE_SALT))
+            return backend.weight / -math.log(unit_hash(seed, backend.hash_id ^ ALONE_SALT))
 
         return max(backends, key=rank)
 
--- a/cedarledge/scale/policy_host.py
+++ b/cedarledge/scale/policy_host.py
@@ -8,7 +8,7 @@
 from cedarledge.policy import Balancer
 from cedarledge.scale.relay_settings import RELAY_SETTINGS
 from cedarledge.settings import Indices, deployment_settings
-from cedarledge.terms import MS, BackendState, Listed, ListForm, LoadReport
+from cedarledge.terms import MS, BackendEntry, BackendState, ListForm, LoadReport
 
 PROBE_ANSWERED_AFTER = 2 * MS
 REPORTED_LOAD = 0.4
@@ -23,11 +23,11 @@
         self, now: int, seed: int, relays: int, backends: int, wake: Callable[[int, int], None]
     ) -> None:
         self.now = now
-        self.wake = wake
+        self.set_timer = wake
         self.probes = self.list_calls = 0
         # As on sockets, where clients' lines tell of hangs alone: see net/relay.py.
         facts = deployment_settings(RELAY_SETTINGS, seed, now, Indices(["here"]))._replace(
-            delays_told=False, relays=relays, me=0
+            message_delays_known=False, relays=relays, relay_index=0
         )
         self.balancer = Balancer(self, facts)
         self.balancer.list_changed(now, ListForm.RESTORED, [_entry(number) for number in range(backends)])
@@ -36,29 +36,29 @@
         """The policy's timer, or the answer to one of its probes."""
         self.now = now
         if token < PROBE_TOKEN:
-            self.balancer.woke(now, token)
+            self.balancer.timer_fired(now, token)
             return
-        report = LoadReport(busy_share=REPORTED_LOAD, asked=REPORTED_LOAD, service_time=4 * MS)
-        self.balancer.probed(now, token - PROBE_TOKEN, True, report)
+        report = LoadReport(busy_share=REPORTED_LOAD, offered_load=REPORTED_LOAD, service_time=4 * MS)
+        self.balancer.probe_ended(now, token - PROBE_TOKEN, True, report)
 
     # -- what the policy calls ----------------------------------------------------------------------
 
     def probe(self, ep: int) -> None:
         self.probes += 1
-        self.wake(PROBE_ANSWERED_AFTER, PROBE_TOKEN + ep)
+        self.set_timer(PROBE_ANSWERED_AFTER, PROBE_TOKEN + ep)
 
-    def watch(self) -> None:
+    def request_list(self) -> None:
         # The first call makes a watch, which goes on by itself.
         self.list_calls += 1
 
     def log(self, text: str) -> None:
         """Counters of placements, of which there are none."""
 
-    def send(self, *_: Any) -> None:
+    def attempt(self, *_: Any) -> None:
         raise AssertionError("nothing is placed without clients")
 
-    decline = close_with_error = move = send
+    reject = close_with_error = move = attempt
 
 
-def _entry(number: int) -> Listed:
-    return Listed(number, number // 6, 0, 0, 1.0, BackendState.READY, 0, number)
+def _entry(number: int) -> BackendEntry:
+    return BackendEntry(number, number // 6, 0, 0, 1.0, BackendState.READY, 0, number)
--- a/cedarledge/settings.py
+++ b/cedarledge/settings.py
@@ -7,7 +7,7 @@
 from hashlib import blake2b
 from typing import Any
 
-from cedarledge.terms import MS, SECOND, Dedup, DeploymentSettings, Effect, LoadReport, ProfileRow
+from cedarledge.terms import MS, SECOND, Dedup, DeploymentSettings, Effect, LoadReport, RequestClassSettings
 
 US = 1_000
 
@@ -17,23 +17,23 @@
 # Report columns by the module's names, with the factor to its units. The pages on the sockets show a report
 # with shorter names than those that the settings list, so both are known.
 COLUMNS = {
-    "outstanding": ("held", 1),
+    "outstanding": ("outstanding", 1),
     "backlog": ("queued", 1),
     "utilization": ("busy_share", 1),
     "recent_ms": ("service_time", MS),
     "errors_per_s": ("errors_per_s", 1),
-    "inflight": ("held", 1),
+    "inflight": ("outstanding", 1),
     "queue": ("queued", 1),
     "util": ("busy_share", 1),
     "latency_ms": ("service_time", MS),
     "eps": ("errors_per_s", 1),
 }
 # What x0 and x1 mean is told by the kind of service; where it is not known they are passed over.
-CONNECTION_COLUMNS = {"x0": ("asked", 1), "x1": ("piled_up", SECOND)}
+CONNECTION_COLUMNS = {"x0": ("offered_load", 1), "x1": ("queue_delay", SECOND)}
 
 
 @lru_cache(maxsize=4096)
-def mark_of(word: str) -> int:
+def stable_hash(word: str) -> int:
     """A number below 2**63 that every relay has for the same backend."""
     return int.from_bytes(blake2b(word.encode(), digest_size=8).digest(), "big") >> 1
 
@@ -69,14 +69,14 @@
 
 
 # What no relay can do without, by its place; and what may be left out, be null, or be there.
-NEEDED = (
+REQUIRED_SETTINGS = (
     "allowed.connect_timeout",
     "safety.cold_from",
     "safety.warm_within",
     "safety.fall_multiple",
     "safety.overload_for",
 )
-NEEDED_OF_PROFILES = ("setup_goal", "client_timeout", "credit")
+REQUIRED_CLASS_SETTINGS = ("setup_goal", "client_timeout", "credit")
 OPTIONAL = (
     "allowed.conn_idle",
     "allowed.max_retry_after",
@@ -129,13 +129,13 @@
     if groups is not None and not isinstance(groups, bool):
         # The word "false" would read as true, and one relay would give way sooner than all the others.
         raise ValueError(f"settings.domain.groups: expected true or false, got {groups!r}")
-    for place in NEEDED:
+    for place in REQUIRED_SETTINGS:
         _check_number(_at(settings, place), place)
     for place in OPTIONAL:
         _check_if_there(_at(settings, place), place)
     if not settings.get("profiles"):
         raise ValueError("settings.profiles: expected one at least")
-    for kind, needed in (("profiles", NEEDED_OF_PROFILES), ("tenants", ())):
+    for kind, needed in (("profiles", REQUIRED_CLASS_SETTINGS), ("tenants", ())):
         for number, row in enumerate(settings.get(kind) or ()):
             if not isinstance(row, Mapping) or row.get("name") is None:
                 raise ValueError(f"settings.{kind}[{number}]: expected values and a name, got {row!r}")
@@ -156,37 +156,37 @@
     goals = domain.get("message_aim") or ()
     overage = settings.get("overage_credit")
     return DeploymentSettings(
-        now=now,
+        start_time=now,
         seed=seed,
-        me=settings.get("me", 0),
+        relay_index=settings.get("me", 0),
         relays=max(1, settings.get("group_size") or 1),
         zone=zones[settings.get("zone")],
         profiles=tuple(
             _profile(row, (goals[place] if place < len(goals) else 0) or 0)
             for place, row in enumerate(settings.get("profiles") or ())
         ),
-        ranked=settings.get("weight_kind", "off") != "off",
-        must_ask=settings.get("membership_mode") == "ask",
-        ask_every=int(safety.get("ask_every") or 0) * US,
+        weighted=settings.get("weight_kind", "off") != "off",
+        requests_list=settings.get("membership_mode") == "ask",
+        list_request_interval=int(safety.get("ask_every") or 0) * US,
         probes=bool(allowed.get("probes")),
-        delays_told=bool(domain.get("tells_delay")),
-        come_back_max=int(allowed.get("max_retry_after") or 0) * US if allowed.get("retry_after") else 0,
-        most_setups=int(allowed.get("most_setups") or 1),
-        cold_from=float(safety["cold_from"]),
+        message_delays_known=bool(domain.get("tells_delay")),
+        max_retry_after=int(allowed.get("max_retry_after") or 0) * US if allowed.get("retry_after") else 0,
+        max_attempts=int(allowed.get("most_setups") or 1),
+        cold_capacity_share=float(safety["cold_from"]),
         # Where backends need no time to warm, the moment that they do need stands for it.
-        warm_within=max(MS, int(safety["warm_within"]) * US),
-        fall_multiple=float(safety["fall_multiple"]),
-        fall_span=int(safety["overload_for"]) * US,
+        warmup_duration=max(MS, int(safety["warm_within"]) * US),
+        overload_multiple=float(safety["fall_multiple"]),
+        overload_duration=int(safety["overload_for"]) * US,
         grouped=bool(domain.get("groups")),
-        quotas=tuple(float(quota or 0) for quota in domain.get("tenant_quota_connections") or ()),
-        over_share_credit=1.0 if overage is None else float(overage),
-        crossing=float((settings.get("prices") or {}).get("cross_zone") or 0),
-        zones=len(settings.get("dcs") or ()),
+        tenant_quotas=tuple(float(quota or 0) for quota in domain.get("tenant_quota_connections") or ()),
+        over_quota_credit_factor=1.0 if overage is None else float(overage),
+        cross_zone_cost=float((settings.get("prices") or {}).get("cross_zone") or 0),
+        zone_count=len(settings.get("dcs") or ()),
     )
 
 
-def _profile(row: Mapping[str, Any], message_goal: float) -> ProfileRow:
-    return ProfileRow(
+def _profile(row: Mapping[str, Any], message_goal: float) -> RequestClassSettings:
+    return RequestClassSettings(
         # A kind that the page does not name is held to the strictest rule.
         effect=EFFECTS.get(row.get("semantics"), Effect.ONCE_ONLY),
         dedup=DEDUPS.get(row.get("group"), Dedup.CELL),
--- a/cedarledge/terms.py
+++ b/cedarledge/terms.py
@@ -54,32 +54,32 @@
     UNAVAILABLE = 3
 
 
-class Listed(NamedTuple):
+class BackendEntry(NamedTuple):
     """One backend as the list tells of it."""
 
-    ep: int
+    backend_id: int
     cell: int
     zone: int
-    kind: int
+    host_type: int
     weight: float
-    standing: BackendState
-    started: int  # 0: long ago
-    mark: int  # a number below 2**63 that every relay has for this backend
+    state: BackendState
+    started_at: int  # 0: long ago
+    hash_id: int  # a number below 2**63 that every relay has for this backend
 
 
 class LoadReport(NamedTuple):
     """What a backend says of itself; None where the site does not report it."""
 
-    held: float | None = None
+    outstanding: float | None = None
     queued: float | None = None
     busy_share: float | None = None
     service_time: int | None = None
     errors_per_s: float | None = None
-    asked: float | None = None  # load asked over what the backend can do
-    piled_up: int | None = None
+    offered_load: float | None = None  # load asked over what the backend can do
+    queue_delay: int | None = None
 
 
-class ProfileRow(NamedTuple):
+class RequestClassSettings(NamedTuple):
     """What differs by profile."""
 
     effect: Effect
@@ -93,31 +93,33 @@
 class DeploymentSettings(NamedTuple):
     """What a relay is told at its start."""
 
-    now: int
+    start_time: int
     seed: int
-    me: int
+    relay_index: int
     relays: int
     zone: int
-    profiles: tuple[ProfileRow, ...]
-    ranked: bool  # the list's weights differ from each other by capability
-    must_ask: bool
-    ask_every: int
+    profiles: tuple[RequestClassSettings, ...]
+    weighted: bool  # the list's weights differ from each other by capability
+    requests_list: bool
+    list_request_interval: int
     probes: bool
-    delays_told: bool  # the host hears how long messages take at a backend, not only that none come back
-    come_back_max: int  # 0: clients are not told when to return
-    most_setups: int
-    cold_from: float
-    warm_within: int
-    fall_multiple: float
-    fall_span: int
+    message_delays_known: (
+        bool  # the host hears how long messages take at a backend, not only that none come back
+    )
+    max_retry_after: int  # 0: clients are not told when to return
+    max_attempts: int
+    cold_capacity_share: float
+    warmup_duration: int
+    overload_multiple: float
+    overload_duration: int
     grouped: bool
-    quotas: tuple[float, ...]  # open connections within each tenant's share; 0: not told
-    over_share_credit: float
-    crossing: float = 0.0  # part of a tunnel's credit that a setup in another location costs
-    zones: int = 0  # in the deployment; 0: not told
+    tenant_quotas: tuple[float, ...]  # open connections within each tenant's share; 0: not told
+    over_quota_credit_factor: float
+    cross_zone_cost: float = 0.0  # part of a tunnel's credit that a setup in another location costs
+    zone_count: int = 0  # in the deployment; 0: not told
 
     @property
-    def tightest(self) -> int:
+    def shortest_message_goal(self) -> int:
         """The shortest message goal; 0: none is told."""
         return min((row.message_goal for row in self.profiles if row.message_goal), default=0)
 
@@ -125,17 +127,17 @@
 class ExternalView(NamedTuple):
     """What other subsystems know that bears on the choice, as plain values; the defaults say nothing."""
 
-    aside: frozenset[int] = frozenset()  # backends that get nothing new; who is there stays
+    excluded: frozenset[int] = frozenset()  # backends that get nothing new; who is there stays
 
 
 class PolicyHost(Protocol):
     """What the decision module may have done; every call takes effect at the time of the running event."""
 
-    def send(self, tun: int, ep: int, timeout: int) -> None: ...
-    def decline(self, tun: int, come_back: int) -> None: ...
-    def close_with_error(self, tun: int) -> None: ...
-    def move(self, tun: int) -> None: ...
-    def probe(self, ep: int) -> None: ...
-    def wake(self, delay: int, token: int) -> None: ...
-    def watch(self) -> None: ...
+    def attempt(self, connection_id: int, backend_id: int, timeout: int) -> None: ...
+    def reject(self, connection_id: int, retry_after: int) -> None: ...
+    def close_with_error(self, connection_id: int) -> None: ...
+    def move(self, connection_id: int) -> None: ...
+    def probe(self, backend_id: int) -> None: ...
+    def set_timer(self, delay: int, token: int) -> None: ...
+    def request_list(self) -> None: ...
     def log(self, text: str) -> None: ...
--- a/cedarledge/wirehost/wire.py
+++ b/cedarledge/wirehost/wire.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from cedarledge.policy import Balancer
-from cedarledge.settings import US, Indices, ReportReader, deployment_settings, mark_of
-from cedarledge.terms import Listed, LoadReport, Outcome
+from cedarledge.settings import US, Indices, ReportReader, deployment_settings, stable_hash
+from cedarledge.terms import BackendEntry, LoadReport, Outcome
 from cedarledge.wirehost.words import FORMS, OUTCOMES, STANDINGS
 
 RETURNING = 2 | 16  # marks: a client's repeat, a client back from a break or a move
@@ -42,11 +42,11 @@
 
     # -- the host interface ------------------------------------------------------------------
 
-    def send(self, tun: int, ep: int, timeout: int) -> None:
+    def attempt(self, tun: int, ep: int, timeout: int) -> None:
         self.out_setups[tun] += 1
         self.out.append(["relay", self.relay, self.tun_ids[tun], self.eps.names[ep], timeout // US])
 
-    def decline(self, tun: int, come_back: int) -> None:
+    def reject(self, tun: int, come_back: int) -> None:
         self.out.append(["turn_away", self.relay, self.tun_ids[tun], come_back // US])
         self._over(tun)
 
@@ -60,10 +60,10 @@
     def probe(self, ep: int) -> None:
         self.out.append(["poll", self.relay, self.eps.names[ep]])
 
-    def wake(self, delay: int, token: int) -> None:
+    def set_timer(self, delay: int, token: int) -> None:
         self.out.append(["timer", self.relay, delay // US, token])
 
-    def watch(self) -> None:
+    def request_list(self) -> None:
         self.out.append(["subscribe", self.relay, True])
 
     def log(self, text: str) -> None:
@@ -96,7 +96,7 @@
 
     def endpoints(self, now: int, form: str, _serial: Any = None, entries: Any = None) -> None:
         listed = [
-            Listed(
+            BackendEntry(
                 self.eps[ep],
                 cluster,
                 self.zones[site],
@@ -104,7 +104,7 @@
                 float(weight or 0),
                 STANDINGS[readiness],
                 (launched or 0) * US,
-                mark_of(ep),
+                stable_hash(ep),
             )
             for cluster, site, readiness, family, weight, ep, launched in (
                 (*entry, None) if len(entry) == 6 else entry for entry in entries or ()
@@ -125,7 +125,7 @@
         marks: Any = 0,
     ) -> None:
         hint = work_hint if marks and marks & 1 else None
-        self.balancer.tunnel_arrived(
+        self.balancer.connection_requested(
             now,
             self._enter(msg_id),
             self._profile(type_),
@@ -152,7 +152,7 @@
     ) -> None:
         tun = self._enter(msg_id)
         self.out_setups[tun] = 1
-        self.balancer.adopted(
+        self.balancer.connection_adopted(
             now,
             tun,
             self._profile(type_),
@@ -166,7 +166,7 @@
     def started(self, now: int, msg_id: int, _shot: int, cost_time: int, _backend: str) -> None:
         tun = self.tuns.get(msg_id)
         if tun is not None:
-            self.balancer.opened(now, tun, cost_time * US)
+            self.balancer.connection_opened(now, tun, cost_time * US)
 
     def verdict(
         self,
@@ -187,7 +187,7 @@
         if ended:
             self.closed.add(tun)
         report = self.read_report(server_stats) if server_stats else None
-        self.balancer.setup_ended(now, tun, self.eps[backend], bool(ended), outcome, cost_time * US, report)
+        self.balancer.attempt_ended(now, tun, self.eps[backend], bool(ended), outcome, cost_time * US, report)
         if tun in self.out_setups:
             self._forget(tun)
 
@@ -196,9 +196,9 @@
         if tun is None:
             return
         if kind == 1:
-            self.balancer.load_told(now, tun, amount)
+            self.balancer.load_changed(now, tun, amount)
         elif kind == 2:
-            self.balancer.delay_told(now, self.eps[backend], int(amount * 1_000_000))
+            self.balancer.message_delay_changed(now, self.eps[backend], int(amount * 1_000_000))
 
     def expired(self, now: int, msg_id: int) -> None:
         tun = self.tuns.get(msg_id)
@@ -208,10 +208,10 @@
 
     def status_back(self, now: int, backend: str, how: str, _cost_time: int = 0, stats: Any = None) -> None:
         report = self.read_report(stats) if stats else LoadReport()
-        self.balancer.probed(now, self.eps[backend], OUTCOMES[how] is Outcome.DONE, report)
+        self.balancer.probe_ended(now, self.eps[backend], OUTCOMES[how] is Outcome.DONE, report)
 
     def elapsed(self, now: int, token: int) -> None:
-        self.balancer.woke(now, token)
+        self.balancer.timer_fired(now, token)
 
     def memo(self, now: int, by: int, payload: Any = None) -> None:
         """Peers' messages carry nothing yet: the decisions do without them."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -25,15 +25,15 @@
     MS,
     NEVER_RAN,
     SECOND,
+    BackendEntry,
     BackendState,
     Dedup,
     DeploymentSettings,
     Effect,
-    Listed,
     ListForm,
     LoadReport,
     Outcome,
-    ProfileRow,
+    RequestClassSettings,
 )
 
 START = 1000 * SECOND
@@ -41,7 +41,7 @@
 
 def facts(window: int = 2 * SECOND, **other: object) -> DeploymentSettings:
     rows = tuple(
-        ProfileRow(effect, dedup, window, 300 * MS, 50 * MS, 1.0 + place)
+        RequestClassSettings(effect, dedup, window, 300 * MS, 50 * MS, 1.0 + place)
         for place, (effect, dedup) in enumerate(
             (
                 (Effect.REPEATABLE, Dedup.ALL),
@@ -53,26 +53,26 @@
         )
     )
     plain: dict = dict(
-        now=START,
+        start_time=START,
         seed=1,
-        me=0,
+        relay_index=0,
         relays=2,
         zone=0,
         profiles=rows,
-        ranked=False,
-        must_ask=True,
-        ask_every=10 * SECOND,
+        weighted=False,
+        requests_list=True,
+        list_request_interval=10 * SECOND,
         probes=True,
-        delays_told=True,
-        come_back_max=SECOND,
-        most_setups=4,
-        cold_from=0.2,
-        warm_within=10 * SECOND,
-        fall_multiple=3.0,
-        fall_span=2 * SECOND,
+        message_delays_known=True,
+        max_retry_after=SECOND,
+        max_attempts=4,
+        cold_capacity_share=0.2,
+        warmup_duration=10 * SECOND,
+        overload_multiple=3.0,
+        overload_duration=2 * SECOND,
         grouped=False,
-        quotas=(),
-        over_share_credit=1.0,
+        tenant_quotas=(),
+        over_quota_credit_factor=1.0,
     )
     return DeploymentSettings(**(plain | other))
 
@@ -83,8 +83,8 @@
     started: int = 0,
     cells: int = 2,
     weight: float = 1.0,
-) -> Listed:
-    return Listed(ep, ep % cells, ep % 2, 0, weight, standing, started, ep)
+) -> BackendEntry:
+    return BackendEntry(ep, ep % cells, ep % 2, 0, weight, standing, started, ep)
 
 
 @dataclass
@@ -102,9 +102,9 @@
     def __init__(self, site: DeploymentSettings, answers: bool = True) -> None:
         self.site = site
         self.answers = answers
-        self.now = site.now
+        self.now = site.start_time
         self.cases: dict[int, Case] = {}
-        self.listing: dict[int, Listed] = {}
+        self.listing: dict[int, BackendEntry] = {}
         self.sends: list[tuple[int, int, int]] = []  # time, tunnel, ep
         self.probes: list[tuple[int, int]] = []
         self.moves: list[int] = []
@@ -119,13 +119,13 @@
     def _may_have_run(self, case: Case) -> list[list]:
         return [setup for setup in case.setups if setup[2] not in NEVER_RAN]
 
-    def send(self, tun: int, ep: int, timeout: int) -> None:
+    def attempt(self, tun: int, ep: int, timeout: int) -> None:
         case, row = self.cases[tun], self.site.profiles[self.cases[tun].profile]
         assert not case.answered, "a send after the final answer"
         assert all(setup[2] is not None for setup in case.setups), "two setups out at once"
-        assert len(case.setups) < self.site.most_setups
+        assert len(case.setups) < self.site.max_attempts
         assert 0 < timeout <= case.give_up - self.now, "a time-out past the client timeout"
-        assert self.listing[ep].standing is BackendState.READY, "a send to a draining or gone backend"
+        assert self.listing[ep].state is BackendState.READY, "a send to a draining or gone backend"
         ran = self._may_have_run(case)
         if ran and row.effect is not Effect.REPEATABLE:
             assert row.effect is Effect.REFERENCED, "a once-only tunnel may run twice"
@@ -140,10 +140,10 @@
         case.setups.append([ep, self.now, None, False])
         self.sends.append((self.now, tun, ep))
 
-    def decline(self, tun: int, come_back: int) -> None:
+    def reject(self, tun: int, come_back: int) -> None:
         case, row = self.cases[tun], self.site.profiles[self.cases[tun].profile]
         assert not case.answered, "two final answers"
-        assert 0 <= come_back <= self.site.come_back_max
+        assert 0 <= come_back <= self.site.max_retry_after
         assert (
             not self._may_have_run(case)
             or row.effect is Effect.REPEATABLE
@@ -163,11 +163,11 @@
     def probe(self, ep: int) -> None:
         self.probes.append((self.now, ep))
 
-    def wake(self, delay: int, token: int) -> None:
+    def set_timer(self, delay: int, token: int) -> None:
         assert delay > 0
         self.wakes.append((self.now + delay // 1000 * 1000, token))  # a host that counts microseconds
 
-    def watch(self) -> None:
+    def request_list(self) -> None:
         self.watches.append(self.now)
 
     def log(self, text: str) -> None:
@@ -181,12 +181,12 @@
             looks = self.now < case.arrived + self.site.profiles[case.profile].setup_goal // 4
             assert case.answered or held or looks, "a tunnel with neither an answer nor a setup out"
 
-    def tell(self, form: ListForm, *entries: Listed) -> None:
+    def tell(self, form: ListForm, *entries: BackendEntry) -> None:
         if form is not ListForm.UNAVAILABLE:
             if form is not ListForm.CHANGES:
                 for ep, old in self.listing.items():
-                    self.listing[ep] = old._replace(standing=BackendState.GONE)
-            self.listing |= {entry.ep: entry for entry in entries}
+                    self.listing[ep] = old._replace(state=BackendState.GONE)
+            self.listing |= {entry.backend_id: entry for entry in entries}
         self.balancer.list_changed(self.now, form, list(entries))
 
     def arrive(
@@ -200,22 +200,22 @@
     ) -> int:
         tun = len(self.cases)
         self.cases[tun] = Case(profile, self.now, self.now + budget)
-        self.balancer.tunnel_arrived(self.now, tun, profile, tenant, key, group, budget, hint, False)
-        while self.answers and tun in self.balancer.state.waiting:
-            ep = self.balancer.state.waiting[tun].backend_id
+        self.balancer.connection_requested(self.now, tun, profile, tenant, key, group, budget, hint, False)
+        while self.answers and tun in self.balancer.state.awaiting_probe:
+            ep = self.balancer.state.awaiting_probe[tun].backend_id
             self.report(ep, self.told.get(ep, 0.0))
         return tun
 
     def adopt(self, ep: int, hint: float | None = None, group: str | None = None) -> int:
         tun = len(self.cases)
         self.cases[tun] = Case(0, self.now, self.now, True, [[ep, self.now, None, True]])
-        self.balancer.adopted(self.now, tun, 0, None, None, group, ep, hint)
+        self.balancer.connection_adopted(self.now, tun, 0, None, None, group, ep, hint)
         return tun
 
     def open(self, tun: int) -> None:
         setup = self.cases[tun].setups[-1]
         setup[3] = self.cases[tun].answered = True
-        self.balancer.opened(self.now, tun, self.now - setup[1])
+        self.balancer.connection_opened(self.now, tun, self.now - setup[1])
 
     def end(self, tun: int, outcome: Outcome) -> None:
         case = self.cases[tun]
@@ -223,7 +223,9 @@
         setup[2] = outcome
         if outcome is Outcome.DONE:
             case.answered = True
-        self.balancer.setup_ended(self.now, tun, setup[0], case.answered, outcome, self.now - setup[1], None)
+        self.balancer.attempt_ended(
+            self.now, tun, setup[0], case.answered, outcome, self.now - setup[1], None
+        )
 
     def end_moved(self) -> None:
         for tun in self.moves:
@@ -232,7 +234,7 @@
 
     def report(self, ep: int, asked: float) -> None:
         self.told[ep] = asked
-        self.balancer.probed(self.now, ep, True, LoadReport(asked=asked))
+        self.balancer.probe_ended(self.now, ep, True, LoadReport(offered_load=asked))
 
     def run(self, span: int) -> None:
         """Lets time pass, with the wakes that fall due."""
@@ -241,7 +243,7 @@
             wake = min(due)
             self.wakes.remove(wake)
             self.now = wake[0]
-            self.balancer.woke(self.now, wake[1])
+            self.balancer.timer_fired(self.now, wake[1])
         self.now = end
 
 
--- a/tests/policy_models.py
+++ b/tests/policy_models.py
@@ -15,13 +15,13 @@
 from cedarledge.terms import (
     MS,
     SECOND,
+    BackendEntry,
     BackendState,
     Dedup,
     DeploymentSettings,
     Effect,
-    Listed,
     LoadReport,
-    ProfileRow,
+    RequestClassSettings,
 )
 
 
@@ -97,32 +97,32 @@
     def settings(self, relay_id: int, now: int, seed: int) -> DeploymentSettings:
         quota = self.backends * self.connections_per_backend / self.tenants if self.tenants else 0.0
         return DeploymentSettings(
-            now=now,
+            start_time=now,
             seed=seed,
-            me=relay_id,
+            relay_index=relay_id,
             relays=self.relays,
             zone=relay_id % 2,
             profiles=tuple(
-                ProfileRow(
+                RequestClassSettings(
                     Effect.REPEATABLE, Dedup.ALL, 0, request_class.deadline // 4, 50 * MS, request_class.value
                 )
                 for request_class in self.classes
             ),
-            ranked=False,
-            must_ask=not self.pushed,
-            ask_every=10 * SECOND,
+            weighted=False,
+            requests_list=not self.pushed,
+            list_request_interval=10 * SECOND,
             probes=self.probes,
-            delays_told=True,
-            come_back_max=800 * MS,
-            most_setups=self.attempts,
-            cold_from=self.cold_from,
-            warm_within=self.warmup_duration,
-            fall_multiple=self.fall_multiple,
-            fall_span=self.fall_span,
+            message_delays_known=True,
+            max_retry_after=800 * MS,
+            max_attempts=self.attempts,
+            cold_capacity_share=self.cold_from,
+            warmup_duration=self.warmup_duration,
+            overload_multiple=self.fall_multiple,
+            overload_duration=self.fall_span,
             grouped=self.group_size > 0,
-            quotas=(quota,) * self.tenants,
-            over_share_credit=0.1,
-            crossing=self.crossing,
+            tenant_quotas=(quota,) * self.tenants,
+            over_quota_credit_factor=0.1,
+            cross_zone_cost=self.crossing,
         )
 
 
@@ -153,9 +153,11 @@
         self.held = 0.0
         self.reports: deque[tuple[int, float]] = deque(maxlen=8)
 
-    def listed(self) -> Listed:
+    def listed(self) -> BackendEntry:
         cell = self.backend_id // self.deployment.cell_size
-        return Listed(self.backend_id, cell, cell % 2, 0, 1.0, self.state, self.started, self.backend_id)
+        return BackendEntry(
+            self.backend_id, cell, cell % 2, 0, 1.0, self.state, self.started, self.backend_id
+        )
 
     def is_cold(self, now: int) -> bool:
         return self.started > 0 and now < self.started + self.deployment.warmup_duration
@@ -188,7 +190,7 @@
 
     def report(self, now: int) -> LoadReport:
         shown = [asked for at, asked in self.reports if at <= now - self.deployment.report_delay]
-        return LoadReport(asked=shown[-1]) if shown else LoadReport()
+        return LoadReport(offered_load=shown[-1]) if shown else LoadReport()
 
 
 @dataclass(frozen=True)
--- a/tests/policy_world.py
+++ b/tests/policy_world.py
@@ -53,33 +53,33 @@
 
     # -- the host interface ------------------------------------------------------------------------
 
-    def send(self, tun: int, ep: int, timeout: int) -> None:
-        world, connection = self.world, self.pending[tun]
-        self.attempted.add(tun)
+    def attempt(self, connection_id: int, backend_id: int, timeout: int) -> None:
+        world, connection = self.world, self.pending[connection_id]
+        self.attempted.add(connection_id)
         load = world.deployment.relative_load(connection.class_index)
-        world.attempts.append(Attempt(world.now, self.relay_id, ep, load))
+        world.attempts.append(Attempt(world.now, self.relay_id, backend_id, load))
         took = min(ATTEMPT_TIME, timeout)
         outcome = Outcome.TIMEOUT if timeout <= ATTEMPT_TIME else None
-        world.after(took, lambda: self._attempt_over(tun, ep, took, outcome))
+        world.after(took, lambda: self._attempt_over(connection_id, backend_id, took, outcome))
 
-    def decline(self, tun: int, come_back: int) -> None:
-        self._reject(tun, come_back)
+    def reject(self, connection_id: int, retry_after: int) -> None:
+        self._reject(connection_id, retry_after)
 
-    def close_with_error(self, tun: int) -> None:
-        self._reject(tun, 0)
+    def close_with_error(self, connection_id: int) -> None:
+        self._reject(connection_id, 0)
 
-    def move(self, tun: int) -> None:
-        self.world.after(ATTEMPT_TIME, lambda: self._end(tun, Outcome.CANCELLED, comes_again=True))
+    def move(self, connection_id: int) -> None:
+        self.world.after(ATTEMPT_TIME, lambda: self._end(connection_id, Outcome.CANCELLED, comes_again=True))
 
-    def probe(self, ep: int) -> None:
-        if not self._is_fresh(ep) and not self.world.backends[ep].is_cold(self.world.now):
+    def probe(self, backend_id: int) -> None:
+        if not self._is_fresh(backend_id) and not self.world.backends[backend_id].is_cold(self.world.now):
             self.unseen_probed_at = self.world.now
-        self.world.after(PROBE_TIME, lambda: self._probed(ep))
+        self.world.after(PROBE_TIME, lambda: self._probed(backend_id))
 
-    def wake(self, delay: int, token: int) -> None:
-        self.world.after(delay, lambda: self.alive and self.balancer.woke(self.world.now, token))
+    def set_timer(self, delay: int, token: int) -> None:
+        self.world.after(delay, lambda: self.alive and self.balancer.timer_fired(self.world.now, token))
 
-    def watch(self) -> None:
+    def request_list(self) -> None:
         self.world.after(LIST_CALL, self._whole_list)
 
     def log(self, text: str) -> None:
@@ -93,7 +93,7 @@
         self.pending[connection_id] = connection
         self.requested_at[connection_id] = world.now
         world.requests.append((world.now, self.relay_id))
-        self.balancer.tunnel_arrived(
+        self.balancer.connection_requested(
             world.now,
             connection_id,
             connection.class_index,
@@ -107,7 +107,7 @@
 
     def adopt(self, connection: Connection, backend: Backend) -> None:
         connection_id = next(self.world.connection_ids)
-        self.balancer.adopted(
+        self.balancer.connection_adopted(
             self.world.now,
             connection_id,
             connection.class_index,
@@ -147,7 +147,7 @@
 
     def _tell_load(self, connection_id: int) -> None:
         if self.alive and connection_id in self.opened:
-            self.balancer.load_told(self.world.now, connection_id, self.opened[connection_id].load)
+            self.balancer.load_changed(self.world.now, connection_id, self.opened[connection_id].load)
 
     def _attempt_over(self, connection_id: int, backend_id: int, took: int, outcome: Outcome | None) -> None:
         if not self.alive:
@@ -163,10 +163,10 @@
         if outcome is None:
             connection = self.pending.pop(connection_id)
             backend.take(connection)
-            self.balancer.opened(now, connection_id, took)
+            self.balancer.connection_opened(now, connection_id, took)
             self._is_open(connection_id, connection)
         else:
-            self.balancer.setup_ended(
+            self.balancer.attempt_ended(
                 now, connection_id, backend_id, False, outcome, took, self._inline_report(backend)
             )
 
@@ -176,7 +176,7 @@
             return
         backend = connection.backend
         backend.release(connection)
-        self.balancer.setup_ended(
+        self.balancer.attempt_ended(
             self.world.now,
             connection_id,
             backend.backend_id,
@@ -201,7 +201,7 @@
         answered = backend.state is not BackendState.GONE
         if answered:
             self.reported_at[backend_id] = self.world.now
-        self.balancer.probed(self.world.now, backend_id, answered, backend.report(self.world.now))
+        self.balancer.probe_ended(self.world.now, backend_id, answered, backend.report(self.world.now))
 
     def _reject(self, connection_id: int, retry_after: int) -> None:
         world, connection = self.world, self.pending.pop(connection_id)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -35,7 +35,9 @@
             clock=lambda: ledger.now,
             tell=tell,
             balancer=ledger.balancer,
-            knows=lambda aside: ledger.balancer.knows(ledger.now, ExternalView(aside=aside)),
+            knows=lambda excluded: ledger.balancer.external_view_changed(
+                ledger.now, ExternalView(excluded=excluded)
+            ),
         )
         self.boxes = BoxList(module, SimpleNamespace(tell=lambda *_: None), {"dcs": ["z"]})
         self.told(True, *[self.entry(name) for name in NAMES])
@@ -118,7 +120,7 @@
         assert not {boxes.eps.names[ep] for _, ep in ledger.probes[probes:]} & banned
         # What is not banned, and up, is never lost by it.
         for ep, entry in ledger.listing.items():
-            assert boxes.eps.names[ep] not in banned or entry.standing is not BackendState.READY
+            assert boxes.eps.names[ep] not in banned or entry.state is not BackendState.READY
 
 
 def test_a_ban_on_all_is_followed_where_a_list_of_all_to_set_aside_is_not() -> None:
@@ -216,8 +218,8 @@
     # The host asks once more before it writes (Tunnels.may_send), and says that it was not sent.
     assert ep not in site.boxes.ready
     ledger.end(tun, Outcome.NOT_SENT)
-    while tun in ledger.balancer.state.waiting:
-        ledger.report(ledger.balancer.state.waiting[tun].backend_id, 0.1)
+    while tun in ledger.balancer.state.awaiting_probe:
+        ledger.report(ledger.balancer.state.awaiting_probe[tun].backend_id, 0.1)
     assert ledger.sends[-1][2] != ep, "it goes elsewhere"
 
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -9,7 +9,7 @@
 from pytest import approx, mark
 
 from cedarledge.policy import utilization
-from cedarledge.policy.cells import digest_of, draw_of
+from cedarledge.policy.cells import hash64, unit_hash
 from cedarledge.policy.placement import SKIP_FACTOR
 from cedarledge.policy.probing import MOST_PROBES
 from cedarledge.policy.state import TICK
@@ -21,7 +21,7 @@
 
 
 def test_a_key_keeps_its_cell_and_its_top_ranked_member() -> None:
-    ledger = fleet(6, ranked=True)
+    ledger = fleet(6, weighted=True)
     ledger.tell(ListForm.CHANGES, listed(4, weight=9.0), listed(5, weight=9.0))
     eps = set()
     for _ in range(4):
@@ -83,7 +83,7 @@
 def test_slow_messages_flag_a_member_before_its_next_probe() -> None:
     ledger = fleet(2, cells=1)
     tun = ledger.arrive(key="one")
-    ledger.balancer.delay_told(ledger.now, placed(ledger, tun), 400 * MS)
+    ledger.balancer.message_delay_changed(ledger.now, placed(ledger, tun), 400 * MS)
     assert placed(ledger, ledger.arrive(key="one")) != placed(ledger, tun)
 
 
@@ -118,7 +118,7 @@
 def test_a_list_whose_watch_was_reset_is_asked_for_before_what_it_missed_counts(every: int) -> None:
     """Where settings tell 2 s, a first wait of up to 3 s had drains followed a second too late."""
     for seed in range(20):
-        ledger = fleet(2, ask_every=every * MS, seed=seed)
+        ledger = fleet(2, list_request_interval=every * MS, seed=seed)
         ledger.run(5 * SECOND)
         for lost in range(6):
             asked = len(ledger.watches)
@@ -135,7 +135,7 @@
 def test_relays_that_start_together_do_not_ask_for_the_list_together() -> None:
     first = []
     for me in range(40):
-        ledger = fleet(4, relays=40, me=me, seed=me)
+        ledger = fleet(4, relays=40, relay_index=me, seed=me)
         ledger.run(5 * SECOND)
         first += ledger.watches
     # Where a call takes a tenth of a second they don't stand in line for long.
@@ -159,7 +159,7 @@
 
 
 def test_steady_probes_do_not_slow_down_where_a_relay_holds_clients_at_many_members() -> None:
-    ledger = fleet(6, delays_told=False)
+    ledger = fleet(6, message_delays_known=False)
     for ep in range(6):
         ledger.adopt(ep)
     ledger.run(12 * SECOND)
@@ -167,7 +167,7 @@
 
 
 def test_a_relay_that_holds_clients_at_few_members_looks_at_those_first_and_at_the_others_seldom() -> None:
-    ledger = fleet(12, delays_told=False, relays=40)
+    ledger = fleet(12, message_delays_known=False, relays=40)
     for ep in (3, 8):
         ledger.adopt(ep)
     ledger.run(40 * SECOND)
@@ -248,7 +248,7 @@
 
 
 def test_a_cold_member_is_filled_though_most_relays_are_come_to_seldom() -> None:
-    ledgers = [fleet(4, 0.5, cells=1, relays=40, me=me, seed=me) for me in range(40)]
+    ledgers = [fleet(4, 0.5, cells=1, relays=40, relay_index=me, seed=me) for me in range(40)]
     for me, ledger in enumerate(ledgers):
         for ep in range(4):
             ledger.adopt(ep)
@@ -267,7 +267,7 @@
 
 
 def test_all_relays_together_empty_a_draining_member_bit_by_bit() -> None:
-    ledgers = [fleet(4, 0.5, relays=40, me=me, seed=me) for me in range(40)]
+    ledgers = [fleet(4, 0.5, relays=40, relay_index=me, seed=me) for me in range(40)]
     left = []
     for ledger in ledgers:
         ledger.adopt(0)
@@ -325,7 +325,7 @@
     crowded = placed(ledger, tuns[0])
     for tun in tuns:
         if placed(ledger, tun) == crowded:
-            ledger.balancer.load_told(ledger.now, tun, 250.0)
+            ledger.balancer.load_changed(ledger.now, tun, 250.0)
     assert utilization.current(ledger.balancer.state, ledger.now, ledger.balancer.state.backends[crowded]) > 1
     ledger.probes.clear()
     ledger.run(4 * TICK)
@@ -348,7 +348,7 @@
                 ledger.open(tun)
             members = ledger.balancer.state.backends.values()
             assert [member.is_ejected(ledger.now) for member in members].count(True) == aside
-    ledger = fleet(5, cells=1, most_setups=1)
+    ledger = fleet(5, cells=1, max_attempts=1)
     ledger.end(ledger.arrive(key="one"), Outcome.ERROR)
     assert [member.ejections for member in ledger.balancer.state.backends.values()].count(1) == 1
 
@@ -377,7 +377,7 @@
 def test_hundreds_of_relays_move_their_part_of_a_sick_members_clients_together() -> None:
     moved = 0
     for me in range(200):
-        ledger = fleet(8, 0.4, relays=200, me=me, seed=me)
+        ledger = fleet(8, 0.4, relays=200, relay_index=me, seed=me)
         ledger.adopt(3, 100.0)
         ledger.run(2500 * MS)
         ledger.report(3, 1.6)
@@ -411,7 +411,7 @@
     for group in "abcdef":
         places = set()
         for me in range(6):
-            ledger = fleet(8, cells=2, relays=6, me=me, seed=me, grouped=True)
+            ledger = fleet(8, cells=2, relays=6, relay_index=me, seed=me, grouped=True)
             places.add(placed(ledger, ledger.arrive(key=f"one {me}", group=group)))
         assert len(places) == 1
 
@@ -449,7 +449,7 @@
 
 
 def test_the_own_location_comes_first_where_a_crossing_is_dear_until_it_is_nearly_full() -> None:
-    ledger = fleet(8, 0.3, cells=4, crossing=0.1, zone=1)
+    ledger = fleet(8, 0.3, cells=4, cross_zone_cost=0.1, zone=1)
     ledger.run(SECOND)
 
     def zones(name: str) -> set[int]:
@@ -520,7 +520,7 @@
 
 def test_moves_take_the_groups_that_rank_the_member_lowest() -> None:
     def place(group: str) -> int:
-        return sorted(range(4), key=lambda ep: -draw_of(digest_of(group), ep)).index(0)
+        return sorted(range(4), key=lambda ep: -unit_hash(hash64(group), ep)).index(0)
 
     names = [f"group {number}" for number in range(100)]
     first, last = (next(name for name in names if place(name) == wanted) for wanted in (0, 3))
@@ -590,9 +590,9 @@
             for ep in range(4):
                 ledger.report(ep, 0.5)
         ledger.balancer.state.settling_until = 0
-        ledger.balancer.stopping(ledger.now, SECOND)
+        ledger.balancer.drain_started(ledger.now, SECOND)
         if comes_back:
-            ledger.balancer.staying(ledger.now)
+            ledger.balancer.drain_cancelled(ledger.now)
         else:
             ledger.balancer.state.stop_by = 0
         before = len(ledger.declines)
@@ -608,7 +608,7 @@
     ledger = fleet()
     tun = ledger.arrive()
     ledger.open(tun)
-    ledger.balancer.stopping(ledger.now, SECOND)
+    ledger.balancer.drain_started(ledger.now, SECOND)
     ledger.now += 300 * MS
     late = ledger.arrive()
     assert not ledger.cases[late].answered
@@ -617,7 +617,7 @@
     assert sorted(ledger.moves) == [tun, late]
     gone = ledger.arrive()
     assert ledger.cases[gone].answered and not ledger.cases[gone].setups
-    ledger.balancer.staying(ledger.now)
+    ledger.balancer.drain_cancelled(ledger.now)
     ledger.end_moved()
     back = ledger.arrive()
     ledger.open(back)
@@ -644,12 +644,12 @@
     teach(ledger)
     before = learned()
     assert min(before) > 0
-    balancer.stopping(ledger.now, SECOND)
+    balancer.drain_started(ledger.now, SECOND)
     ledger.run(2 * SECOND)
     ledger.end_moved()
     for back in (False, True):
         if back:
-            balancer.staying(ledger.now)
+            balancer.drain_cancelled(ledger.now)
         for _ in range(8):
             ledger.now += 500 * MS
             for ep in range(2):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -792,11 +792,15 @@
     ledger.answers = False
     ledger.run(4 * SECOND)
     gone = ledger.arrive()
-    seen = ledger.balancer.state.waiting[gone]
+    seen = ledger.balancer.state.awaiting_probe[gone]
     ledger.balancer.client_gone(ledger.now, gone)
     ledger.cases[gone].answered = True
     ledger.run(SECOND)
-    assert not seen.busy_until and not ledger.balancer.state.waiting and not ledger.balancer.state.connections
+    assert (
+        not seen.busy_until
+        and not ledger.balancer.state.awaiting_probe
+        and not ledger.balancer.state.connections
+    )
 
 
 def test_what_was_never_sent_costs_a_cold_member_nothing_of_its_budget() -> None:
@@ -1161,7 +1165,7 @@
         return round(clock.seconds() * SECOND)
 
     timers = Timers(clock, now)
-    module = SimpleNamespace(tell=lambda *_: None, balancer=SimpleNamespace(stopping=None))
+    module = SimpleNamespace(tell=lambda *_: None, balancer=SimpleNamespace(drain_started=None))
     tunnels = SimpleNamespace(table=SimpleNamespace(used=1), end_all=lambda: swept.append(now()))
     service = Service(timers, module, None, tunnels, None, SimpleNamespace(away=False))
     service.go_out()
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -19,7 +19,7 @@
 from cedarledge.net import relay as relays
 from cedarledge.net.clients import read_opening
 from cedarledge.net.config import StartingOrders
-from cedarledge.settings import NEEDED, NEEDED_OF_PROFILES, check_settings
+from cedarledge.settings import REQUIRED_CLASS_SETTINGS, REQUIRED_SETTINGS, check_settings
 from cedarledge.terms import LoadReport
 
 # With all that the pages name and the program reads.
@@ -112,7 +112,7 @@
             # In steps shorter than the grace of an answer: with longer ones each would come late.
             reactor.pump([0.05] * 5)
             for ep, load in enumerate(LOADS):
-                relay.probe_over(ep, True, LoadReport(asked=load))
+                relay.probe_over(ep, True, LoadReport(offered_load=load))
             clients.append(Client())
             name, wait = rows[number % len(rows)]
             relay.tunnels.arrived(
@@ -149,12 +149,12 @@
 
 def test_only_what_no_relay_can_do_without_is_refused_where_it_is_missing(monkeypatch: MonkeyPatch) -> None:
     """Backends that need no time to warm, a goal or limit of zero and null loads ended starts or tunnels."""
-    needed = {("allowed",), ("safety",), *(tuple(place.split(".")) for place in NEEDED)}
+    needed = {("allowed",), ("safety",), *(tuple(place.split(".")) for place in REQUIRED_SETTINGS)}
     for place in places(WHOLE):
         told = copy.deepcopy(WHOLE)
         changed(told, place, None)
         in_row = place[0] in ("profiles", "tenants") and (
-            len(place) == 2 or place[-1] in (*NEEDED_OF_PROFILES, "name")
+            len(place) == 2 or place[-1] in (*REQUIRED_CLASS_SETTINGS, "name")
         )
         if place in needed or in_row or place in (("profiles",), ("dcs", 0)):
             with raises(ValueError, match=r"settings\."):
@@ -162,7 +162,12 @@
             continue
         check_settings(told)
         play(told, monkeypatch)
-    for place in (*NEEDED, "profiles.0.setup_goal", "profiles.0.client_timeout", "profiles.0.credit"):
+    for place in (
+        *REQUIRED_SETTINGS,
+        "profiles.0.setup_goal",
+        "profiles.0.client_timeout",
+        "profiles.0.credit",
+    ):
         told = copy.deepcopy(WHOLE)
         changed(told, tuple(int(name) if name.isdigit() else name for name in place.split(".")), 0)
         check_settings(told)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,7 +21,7 @@
 from cedarledge.net import beliefs
 from cedarledge.net.handover import VERSION, NotFollowedError, line_of, own_path, read_estate
 from cedarledge.policy import utilization
-from cedarledge.policy.estimators import usual_load
+from cedarledge.policy.estimators import mean_load
 from cedarledge.settings import Indices
 
 
@@ -389,14 +389,14 @@
     kinds = Indices(["k"])
     teach(old)
     told = json.loads(json.dumps(beliefs.told_of(old.balancer, kinds, old.now)))
-    new = fleet(size=2, asked=None, now=old.now)
+    new = fleet(size=2, asked=None, start_time=old.now)
     with raises(ValueError):
         beliefs.follow(new.balancer, kinds, told | {"loads": told["loads"][1:]}, new.now)
     with raises(ValueError):
         beliefs.follow(new.balancer, kinds, told | {"rate": -1.0}, new.now)
-    assert not new.balancer.state.fill_rate and usual_load(new.balancer.state.loads, new.now, 0) == 0
+    assert not new.balancer.state.fill_rate and mean_load(new.balancer.state.class_loads, new.now, 0) == 0
     beliefs.follow(new.balancer, kinds, told, new.now)
-    assert usual_load(new.balancer.state.loads, new.now, 0) == approx(100)
+    assert mean_load(new.balancer.state.class_loads, new.now, 0) == approx(100)
     # The clients are still at the old process, and the reports tell of them.
     for _ in range(10):
         new.now += 500 * MS
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -14,8 +14,8 @@
 
 # Told of few relays and cheap crossings, as at alba-live, and of more relays and dear crossings. What the
 # backends are, groups with it, is the same for both.
-OLD = {"relays": 4, "crossing": 0.01, "grouped": True}
-NEW = {"relays": 12, "crossing": 0.1, "grouped": True}
+OLD = {"relays": 4, "cross_zone_cost": 0.01, "grouped": True}
+NEW = {"relays": 12, "cross_zone_cost": 0.1, "grouped": True}
 SHAPES = [OLD] * 4 + [NEW] * 8
 FULL_AT = 30  # connections that fill a warm backend
 COLD = 8
@@ -35,7 +35,7 @@
     def __post_init__(self) -> None:
         self.chance = random.Random(5)
         for me, shape in enumerate(self.shapes):
-            ledger = Ledger(facts(me=me, seed=me, zone=me % 2, **shape))
+            ledger = Ledger(facts(relay_index=me, seed=me, zone=me % 2, **shape))
             ledger.tell(ListForm.RESTORED, *(listed(ep, cells=4) for ep in range(COLD)))
             self.ledgers.append(ledger)
 
@@ -107,9 +107,11 @@
     assert fleet.cold_sends, "the cold budget is there to be used"
     for at in fleet.cold_sends:
         # The rule's multiple of what a backend can take as it warms, counted over both kinds together.
-        part = site.cold_from + (1 - site.cold_from) * (at - started) / site.warm_within
-        most = site.fall_multiple * part * FULL_AT * site.fall_span / site.warm_within
-        assert sum(at - site.fall_span < other <= at for other in fleet.cold_sends) <= most
+        part = (
+            site.cold_capacity_share + (1 - site.cold_capacity_share) * (at - started) / site.warmup_duration
+        )
+        most = site.overload_multiple * part * FULL_AT * site.overload_duration / site.warmup_duration
+        assert sum(at - site.overload_duration < other <= at for other in fleet.cold_sends) <= most
     calm = fleet.opened()
     assert min(calm) > 0.95, calm
     fleet.asked = {"old": [0, 0], "new": [0, 0]}
@@ -129,9 +131,9 @@
 
 
 def test_the_price_of_a_crossing_left_out_is_nothing_and_what_is_told_is_read() -> None:
-    assert deployment_settings(SETTINGS, 1, 0, {"here": 0}).crossing == 0
+    assert deployment_settings(SETTINGS, 1, 0, {"here": 0}).cross_zone_cost == 0
     told = SETTINGS | {"prices": {"cross_zone": 0.1}}
-    assert deployment_settings(told, 1, 0, {"here": 0}).crossing == approx(0.1)
+    assert deployment_settings(told, 1, 0, {"here": 0}).cross_zone_cost == approx(0.1)
 
 
 def test_settings_of_the_wrong_shape_are_named_by_their_place() -> None:
@@ -169,5 +171,5 @@
         fleet.run(10 * SECOND, 20)
         return [send for ledger in fleet.ledgers for send in ledger.sends]
 
-    assert sends() == sends(crossing=0.01)
-    assert sends() != sends(crossing=0.1)
+    assert sends() == sends(cross_zone_cost=0.01)
+    assert sends() != sends(cross_zone_cost=0.1)
--- a/tests/test_policy_groups.py
+++ b/tests/test_policy_groups.py
@@ -16,17 +16,17 @@
 
 def zoned_fleet(zones: int, zone: int, **other: object) -> Ledger:
     """Twelve backends at load 0.3, two cells a zone, before a relay in one of the zones."""
-    told = {"grouped": True, "crossing": 0.2, "relays": 60, "zones": zones} | other
-    ledger = Ledger(facts(zone=zone, me=zone, seed=zone, **told))
+    told = {"grouped": True, "cross_zone_cost": 0.2, "relays": 60, "zone_count": zones} | other
+    ledger = Ledger(facts(zone=zone, relay_index=zone, seed=zone, **told))
     backends = [
         listed(number)._replace(zone=number % zones, cell=number % (2 * zones)) for number in range(12)
     ]
     ledger.tell(ListForm.RESTORED, *backends)
     for backend in backends:
-        ledger.report(backend.ep, 0.3)
+        ledger.report(backend.backend_id, 0.3)
     ledger.run(SECOND)
     for backend in backends:
-        ledger.report(backend.ep, 0.3)
+        ledger.report(backend.backend_id, 0.3)
     return ledger
 
 
@@ -68,7 +68,7 @@
         "safety": {"cold_from": 0.3, "warm_within": 9_000_000, "fall_multiple": 3, "overload_for": 2_000_000},
         "profiles": [{"name": "a", "setup_goal": 300_000, "client_timeout": 1_000_000, "credit": 1}],
     }
-    assert deployment_settings(told, 1, 0, {None: 0}).zones == 3
+    assert deployment_settings(told, 1, 0, {None: 0}).zone_count == 3
 
 
 @mark.parametrize(("others", "moves"), [(0.66, True), (0.85, False)])
@@ -120,15 +120,17 @@
 def test_backends_of_a_kind_whose_capacity_is_unknown_count_like_the_others() -> None:
     """They weighed 1 beside millions, in whatever unit loads came, so a relay saw its own backends alone."""
     ledger = Ledger(facts(relays=2))
-    ledger.tell(ListForm.RESTORED, *(listed(number)._replace(kind=number // 4) for number in range(8)))
+    ledger.tell(ListForm.RESTORED, *(listed(number)._replace(host_type=number // 4) for number in range(8)))
     state = ledger.balancer.state
     for backend_id in range(4):
         ledger.adopt(backend_id, hint=20_000.0)
     ledger.run(SECOND)
     for backend_id in range(8):
-        ledger.balancer.probed(ledger.now, backend_id, True, LoadReport(asked=0.9 if backend_id < 4 else 0.1))
+        ledger.balancer.probe_ended(
+            ledger.now, backend_id, True, LoadReport(offered_load=0.9 if backend_id < 4 else 0.1)
+        )
     state.fleet_load_until = 0
-    assert state.capacity[1].weight.read(ledger.now) == 0
+    assert state.host_type_capacity[1].weight.read(ledger.now) == 0
     assert utilization.fleet(state, ledger.now) == approx(0.5, abs=0.05)
 
 
--- a/tests/test_policy_overload.py
+++ b/tests/test_policy_overload.py
@@ -15,7 +15,7 @@
 from test_policy_laws import LEAST, sent_too_many
 
 from cedarledge.policy import utilization
-from cedarledge.policy.cells import digest_of, draw_of
+from cedarledge.policy.cells import hash64, unit_hash
 from cedarledge.policy.shedding import ORDER_SALT
 from cedarledge.policy.state import MOST_UNATTEMPTED, State
 from cedarledge.terms import MS, ExternalView, ListForm, LoadReport, Outcome
@@ -38,7 +38,7 @@
     for number in range(40):
         ledger.adopt(number % 4, hint=10.0)
     for backend_id in range(4):
-        ledger.balancer.probed(ledger.now, backend_id, True, LoadReport(asked=0.5))
+        ledger.balancer.probe_ended(ledger.now, backend_id, True, LoadReport(offered_load=0.5))
     assert fleet_load(ledger.balancer.state, ledger.now) == approx(0.5, abs=0.01)
 
 
@@ -48,11 +48,11 @@
     ledger.tell(ListForm.RESTORED, *(listed(number) for number in range(4)))
     connections = [ledger.adopt(number % 4) for number in range(40)]
     for connection_id in connections[:36]:
-        ledger.balancer.load_told(ledger.now, connection_id, 10.0)
+        ledger.balancer.load_changed(ledger.now, connection_id, 10.0)
     for backend_id in range(4):
-        ledger.balancer.probed(ledger.now, backend_id, True, LoadReport(asked=0.5))
+        ledger.balancer.probe_ended(ledger.now, backend_id, True, LoadReport(offered_load=0.5))
     for connection_id in connections[36:]:
-        ledger.balancer.load_told(ledger.now, connection_id, 100.0)
+        ledger.balancer.load_changed(ledger.now, connection_id, 100.0)
     assert fleet_load(ledger.balancer.state, ledger.now) == approx(0.5, abs=0.01)
 
 
@@ -66,7 +66,7 @@
     for _ in range(8):
         for backend_id in range(8):
             asked = 0.9 if backend_id == 0 else 0.4
-            ledger.balancer.probed(ledger.now, backend_id, True, LoadReport(asked=asked))
+            ledger.balancer.probe_ended(ledger.now, backend_id, True, LoadReport(offered_load=asked))
     assert fleet_load(ledger.balancer.state, ledger.now) == approx((0.9 + 7 * 0.4) / 8, abs=0.02)
 
 
@@ -124,9 +124,9 @@
 def test_a_relay_that_has_seen_few_backends_probes_another_one_before_it_rejects() -> None:
     ledger = crowded_few(relays=230)
     connection_id = ledger.arrive(key="client")
-    (probed,) = ledger.balancer.state.waiting.values()
+    (probed,) = ledger.balancer.state.awaiting_probe.values()
     assert probed.reported < 0 and not ledger.declines
-    ledger.balancer.probed(ledger.now, probed.backend_id, True, LoadReport(asked=1.1))
+    ledger.balancer.probe_ended(ledger.now, probed.backend_id, True, LoadReport(offered_load=1.1))
     assert connection_id in rejected(ledger), "one look is enough: the client waits"
 
 
@@ -148,9 +148,9 @@
 def test_a_client_that_leaves_before_the_probe_is_answered_gets_nothing_more() -> None:
     ledger = crowded_few(relays=230)
     connection_id = ledger.arrive(key="client")
-    (probed,) = ledger.balancer.state.waiting.values()
+    (probed,) = ledger.balancer.state.awaiting_probe.values()
     ledger.balancer.client_gone(ledger.now, connection_id)
-    ledger.balancer.probed(ledger.now, probed.backend_id, True, LoadReport(asked=0.1))
+    ledger.balancer.probe_ended(ledger.now, probed.backend_id, True, LoadReport(offered_load=0.1))
     assert connection_id not in rejected(ledger) and not ledger.cases[connection_id].setups
 
 
@@ -166,7 +166,7 @@
 def overload(ledger: Ledger) -> None:
     """Reports of every backend, which relays have from different moments."""
     for backend_id in range(8):
-        ledger.report(backend_id, 1.3 + 0.05 * ((backend_id + ledger.site.me) % 8))
+        ledger.report(backend_id, 1.3 + 0.05 * ((backend_id + ledger.site.relay_index) % 8))
     ledger.balancer.state.shed_fraction, ledger.balancer.state.shed_order = 1.0, [(0.0, 1.0)] * 5
 
 
@@ -221,7 +221,7 @@
 def test_all_relays_send_a_group_that_they_do_not_hold_to_the_same_backend_as_a_trial() -> None:
     chosen = set()
     for seed in range(6):
-        ledger = full_fleet(seed=seed, me=seed)
+        ledger = full_fleet(seed=seed, relay_index=seed)
         chosen |= backends_of(ledger, arrive_in_turn(ledger, 20, SECOND // 4, ["group"]))
     assert len(chosen) == 1
 
@@ -230,14 +230,14 @@
     """Else trials, which may be most of what a full fleet takes, serve what should be shed first."""
     groups = [f"group {number}" for number in range(4)]
     attempted = arrive_in_turn(full_fleet(), 60, SECOND // 4, groups)
-    last = max(groups, key=lambda group: draw_of(digest_of(group), ORDER_SALT))
+    last = max(groups, key=lambda group: unit_hash(hash64(group), ORDER_SALT))
     assert set(attempted.values()) == {last}
 
 
 def test_a_trial_does_not_go_to_a_backend_that_operators_have_set_aside() -> None:
     ledger = full_fleet()
     ledger.adopt(0, hint=1.0, group="group")
-    ledger.balancer.knows(ledger.now, ExternalView(aside=frozenset({0})))
+    ledger.balancer.external_view_changed(ledger.now, ExternalView(excluded=frozenset({0})))
     attempted = arrive_in_turn(ledger, 30, SECOND // 4, ["group"])
     assert attempted and 0 not in backends_of(ledger, attempted)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -42,15 +42,15 @@
             facts(
                 window=window,
                 seed=seed,
-                must_ask=ask,
-                ranked=ranked,
+                requests_list=ask,
+                weighted=ranked,
                 grouped=grouped,
-                most_setups=setups,
+                max_attempts=setups,
                 probes=probes,
                 relays=relays,
-                come_back_max=SECOND if ask else 0,
-                quotas=(4.0, 4.0),
-                over_share_credit=0.1,
+                max_retry_after=SECOND if ask else 0,
+                tenant_quotas=(4.0, 4.0),
+                over_quota_credit_factor=0.1,
             )
         )
         self.ledger.tell(
@@ -98,9 +98,9 @@
     @rule(data=st.data(), load=st.floats(0, 1e6), delay=st.integers(0, 500))
     def note(self, data: st.DataObject, load: float, delay: int) -> None:
         tun = data.draw(st.sampled_from(self.out()))
-        self.ledger.balancer.load_told(self.ledger.now, tun, load)
+        self.ledger.balancer.load_changed(self.ledger.now, tun, load)
         ep = self.ledger.cases[tun].setups[-1][0]
-        self.ledger.balancer.delay_told(self.ledger.now, ep, delay * MS)
+        self.ledger.balancer.message_delay_changed(self.ledger.now, ep, delay * MS)
 
     @precondition(lambda self: self.out())
     @rule(data=st.data())
@@ -159,12 +159,12 @@
 def test_all_relays_together_stay_under_a_cold_backends_multiple(
     load: float, relays: int, rush: int, age: int, seed: int
 ) -> None:
-    ledgers = [fleet(4, load, relays=relays, me=me, seed=seed * relays + me) for me in range(relays)]
+    ledgers = [fleet(4, load, relays=relays, relay_index=me, seed=seed * relays + me) for me in range(relays)]
     held = 160  # by all relays, so a member that is full holds 40 / load
     for tun in range(held):
         ledgers[tun % relays].adopt(tun // relays % 4)
     site = ledgers[0].site
-    started = site.now - age * SECOND
+    started = site.start_time - age * SECOND
     for ledger in ledgers:
         ledger.run(SECOND)
         for ep in range(4):
@@ -173,20 +173,25 @@
         ledger.tell(ListForm.CHANGES, listed(9, started=started))
     for number in range(rush * 12):
         ledger = ledgers[number * 7 % relays]
-        ledger.run(site.now + 2 * SECOND + number * SECOND // rush - ledger.now)
+        ledger.run(site.start_time + 2 * SECOND + number * SECOND // rush - ledger.now)
         tun = ledger.arrive(key=f"rush {number}")
         if not ledger.cases[tun].answered:
             ledger.open(tun)
             if ledger.cases[tun].setups[-1][0] != 9:
                 ledger.end(tun, Outcome.DONE)
     sends = sorted(
-        at for ledger in ledgers for at, _, ep in ledger.sends if ep == 9 and at < started + site.warm_within
+        at
+        for ledger in ledgers
+        for at, _, ep in ledger.sends
+        if ep == 9 and at < started + site.warmup_duration
     )
     assert sends, "the budget is there to be used"
     for at in sends:
-        share = site.cold_from + (1 - site.cold_from) * (at - started) / site.warm_within
-        budget = site.fall_multiple * share * 40 / load * site.fall_span / site.warm_within
-        assert sum(at - site.fall_span < other <= at for other in sends) <= budget
+        share = (
+            site.cold_capacity_share + (1 - site.cold_capacity_share) * (at - started) / site.warmup_duration
+        )
+        budget = site.overload_multiple * share * 40 / load * site.overload_duration / site.warmup_duration
+        assert sum(at - site.overload_duration < other <= at for other in sends) <= budget
 
 
 @given(
@@ -200,7 +205,7 @@
 def test_lists_of_any_size_and_changes_in_bulk_keep_the_rules(
     size: int, relays: int, me: int, cells: int, gone: int
 ) -> None:
-    ledger = fleet(size, None, cells=cells, relays=relays, me=me)
+    ledger = fleet(size, None, cells=cells, relays=relays, relay_index=me)
     for turn in range(4):
         for number in range(10):
             tun = ledger.arrive(key=f"{turn} {number}")
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -178,11 +178,11 @@
 
 def test_what_is_set_aside_gets_nothing_new_unless_it_would_be_all() -> None:
     ledger = fleet(4, cells=1)
-    ledger.balancer.knows(ledger.now, ExternalView(aside=frozenset({0, 1, 2})))
+    ledger.balancer.external_view_changed(ledger.now, ExternalView(excluded=frozenset({0, 1, 2})))
     for number in range(6):
         ledger.arrive(key=f"k{number}")
     assert {ep for _, _, ep in ledger.sends} == {3}
-    ledger.balancer.knows(ledger.now, ExternalView(aside=frozenset(range(4))))
+    ledger.balancer.external_view_changed(ledger.now, ExternalView(excluded=frozenset(range(4))))
     for number in range(30):
         ledger.arrive(key=f"n{number}")
     assert len({ep for _, _, ep in ledger.sends}) > 1
--- a/tests/test_terms_start.py
+++ b/tests/test_terms_start.py
@@ -49,14 +49,20 @@
     def __init__(self, reactor: MemoryReactorClock, number: int) -> None:
         self.reactor = reactor
         self.timers = Timers(reactor, self.now)
-        site = facts(now=self.now(), seed=number, me=number, relays=RELAYS, ask_every=10 * SECOND)
+        site = facts(
+            start_time=self.now(),
+            seed=number,
+            relay_index=number,
+            relays=RELAYS,
+            list_request_interval=10 * SECOND,
+        )
         # Made before the policy, which may ask for the list in its first step.
         self.watch_loop = Watch(
             reactor,
             self.timers,
             ("127.0.0.1", 1 + number),
             7,
-            site.ask_every,
+            site.list_request_interval,
             False,
             random.Random(number).random,
             self.told,
@@ -68,14 +74,14 @@
     def now(self) -> int:
         return round(self.reactor.seconds() * SECOND)
 
-    def wake(self, delay: int, token: int) -> None:
+    def set_timer(self, delay: int, token: int) -> None:
         if token == LIST_TOKEN:
             self.timers.after(delay, self.woke)
 
     def woke(self) -> None:
-        self.balancer.woke(self.now(), LIST_TOKEN)
+        self.balancer.timer_fired(self.now(), LIST_TOKEN)
 
-    def watch(self) -> None:
+    def request_list(self) -> None:
         self.watch_loop.start()
 
     def told(self, whole: bool, members: list) -> None:
--- a/tests/test_tunnels.py
+++ b/tests/test_tunnels.py
@@ -134,11 +134,11 @@
         self.out: dict[int, SetupStub] = {}
         self.clients: list[Client] = []
         self.full = False
-        self.module.start(facts(now=self.now()), Broken if broken else Balancer)
+        self.module.start(facts(start_time=self.now()), Broken if broken else Balancer)
         entries = [listed(ep, cells=2) for ep in range(BOXES)]
         for entry in entries:
-            self.boxes.addresses[self.boxes.eps[f"s-{entry.ep}"]] = ("127.0.0.1", 1)
-        self.listing = {entry.ep: entry for entry in entries}
+            self.boxes.addresses[self.boxes.eps[f"s-{entry.backend_id}"]] = ("127.0.0.1", 1)
+        self.listing = {entry.backend_id: entry for entry in entries}
         self.boxes.changed(ListForm.RESTORED, entries)
 
     def now(self) -> int:
@@ -212,11 +212,13 @@
 
     def lists(self, pick: int, standing: BackendState) -> None:
         ep = pick % BOXES
-        self.listing[ep] = self.listing[ep]._replace(standing=standing)
+        self.listing[ep] = self.listing[ep]._replace(state=standing)
         self.boxes.changed(ListForm.CHANGES, [self.listing[ep]])
 
     def reports(self, pick: int, asked: float) -> None:
-        self.module.tell(self.module.balancer.probed, pick % BOXES, asked < 5, LoadReport(asked=asked))
+        self.module.tell(
+            self.module.balancer.probe_ended, pick % BOXES, asked < 5, LoadReport(offered_load=asked)
+        )
 
 
 class Broken(Balancer):
@@ -294,7 +296,7 @@
     assert not scene.invariants.counts
     if not broken:
         state = scene.module.balancer.state
-        assert not (state.connections or state.waiting or state.in_flight), (
+        assert not (state.connections or state.awaiting_probe or state.in_flight), (
             "nothing is counted that is not there"
         )
         assert not any(
