--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -39,7 +39,7 @@
                 ledger.now, ExternalView(excluded=excluded)
             ),
         )
-        self.boxes = BoxList(module, SimpleNamespace(tell=lambda *_: None), {"dcs": ["z"]})
+        self.boxes = BoxList(module, SimpleNamespace(notify=lambda *_: None), {"dcs": ["z"]})
         self.told(True, *[self.entry(name) for name in NAMES])
 
     def entry(self, name: str, phase: str = "up", started: int = 0) -> dict:
