--- a/cedarledge/policy/__init__.py
+++ b/cedarledge/policy/__init__.py
@@ -1,3 +1,3 @@
-"""The policy: every decision of a relay, without I/O or a clock."""
+"""The load-balancing policy: all decisions of a relay, without I/O and without a clock of its own."""
 
 from cedarledge.policy.balancer import Balancer as Balancer
--- a/cedarledge/policy/balancer.py
+++ b/cedarledge/policy/balancer.py
@@ -1,4 +1,4 @@
-"""The entry to the policy: a method for each thing that can happen, which acts by calling the host."""
+"""The policy's entry point: a method for each event at a relay, which acts through the host interface."""
 
 import math
 
@@ -13,33 +13,38 @@
 
 
 class Balancer:
-    """Receives what happens at one relay, attempts connections and answers what can't be placed."""
+    """Handles the events of one relay: attempts requested connections and rejects those that fit nowhere.
+
+    All methods take the current time in nanoseconds and never block.
+    """
 
     choose = staticmethod(placement.choose)
     record_failure = staticmethod(ejection.record_failure)
     rebalance_connections = staticmethod(rebalance.tick)
 
     def __init__(self, host: terms.PolicyHost, settings: terms.DeploymentSettings) -> None:
+        """Sets the first timers at the host, including that of the first list request."""
         self.state = State(host, settings)
         self.random = self.state.random
-        self.counts = {"rank": 0, "skip": 0, "spill": 0, "fewest": 0, "last": 0, "trial": 0}  # by rule
-        self.next_log = settings.start_time + LOG_INTERVAL
+        # Placements by the rule that chose the backend.
+        self.counts = {"rank": 0, "skip": 0, "spill": 0, "fewest": 0, "last": 0, "trial": 0}
+        self.next_log_at = settings.start_time + LOG_INTERVAL
         if settings.requests_list:
-            first_within = min(retries.LIST_RETRY, retries.LIST_SPREAD * settings.relays)
-            host.set_timer(int(self.random() * first_within), LIST_TOKEN)
+            longest_delay = min(retries.LIST_RETRY_DELAY, retries.LIST_REQUEST_SPACING * settings.relays)
+            host.set_timer(int(self.random() * longest_delay), LIST_TOKEN)
         host.set_timer(int(TICK * (0.5 + 0.5 * self.random())), TICK_TOKEN)
 
     def list_changed(self, now: int, form: ListForm, entries: list[terms.BackendEntry]) -> None:
-        """The list tells of backends, or can't be had."""
+        """A list update has arrived, or the list is unavailable."""
         if form is ListForm.UNAVAILABLE:
             self.state.host.set_timer(retries.list_delay(self.state), LIST_TOKEN)
             return
         if form is not ListForm.RESTORED:
-            self.state.list_delay = 0
+            self.state.list_retry_delay = 0
         backends.update(self.state, now, form, entries)
 
     def external_view_changed(self, now: int, view: terms.ExternalView) -> None:
-        """What other subsystems know beside the list has changed."""
+        """The information of other subsystems has changed."""
         self.state.external = view
         backends.form_cells(self.state)
 
@@ -55,7 +60,10 @@
         hint: float | None,
         returning: bool,
     ) -> None:
-        """A client asks for a connection; the hint is its usual load."""
+        """A client requests a connection.
+
+        The hint is its usual load. Returning clients have been rejected or moved before.
+        """
         state = self.state
         if hint is not None:
             state.class_loads[request_class].add(now, hint)
@@ -63,12 +71,12 @@
         group = group if state.settings.grouped else None
         connection = Connection(connection_id, request_class, tenant, key, group, load, now + time_budget)
         target = state.settings.profiles[request_class].setup_goal
-        connection.probe_by = now + int(probing.PROBE_SHARE * min(target, time_budget))
+        connection.probe_deadline = now + int(probing.PROBE_TIME_SHARE * min(target, time_budget))
         state.connections[connection_id] = connection
         state.arrivals.add(now, 1)
         trials.record_arrival(state, now, connection)
-        if not returning:  # a storm of returning clients says nothing of what is asked for
-            state.offered[request_class].add(now, 1)
+        if not returning:  # returning clients would inflate the measured demand
+            state.offered_arrivals[request_class].add(now, 1)
         self._place(now, connection)
 
     def connection_adopted(
@@ -82,12 +90,12 @@
         backend_id: int,
         hint: float | None,
     ) -> None:
-        """A connection from before this relay's start is open again."""
+        """A connection that was open before this relay's start is open again at the same backend."""
         state = self.state
         if hint is not None:
             state.class_loads[request_class].add(now, hint)
-        state.settling_until = 0  # it has its share from the start
-        state.offered[request_class].add(now, 1)
+        state.settling_until = 0  # with adopted connections it has its share from the start
+        state.offered_arrivals[request_class].add(now, 1)
         group = group if state.settings.grouped else None
         connection = Connection(connection_id, request_class, tenant, key, group, hint or 0.0)
         connection.opened_at = max(1, now)
@@ -98,20 +106,22 @@
 
     def _place(self, now: int, connection: Connection) -> None:
         state = self.state
-        # What all attempts need answers none when all press it: no more go out than it was seen to bear.
-        is_shut = 0 < state.stop_by <= now
-        is_shut = is_shut or (state.in_flight >= state.window and ejection.is_shared(state, now))
-        choice = None if is_shut else self.choose(state, now, connection)
-        # A relay that has seen little of the fleet looks at more of it before it rejects: its own clients'
-        # backends report first and most often, and say nothing of the room that the others have.
-        unseen = None if choice or is_shut else probing.before_rejection(state, now, connection)
-        if unseen:
-            connection.probed_to_reject = True
-            self._wait_for_probe(now, connection, unseen)
+        # While attempts fail at all backends, their number is limited: a dependency that all share, such as a
+        # store, recovers only under less load.
+        is_blocked = 0 < state.drain_deadline <= now
+        is_blocked = is_blocked or (state.in_flight >= state.attempt_limit and ejection.is_shared(state, now))
+        choice = None if is_blocked else self.choose(state, now, connection)
+        # Without reports from enough of the fleet, another backend is probed before a rejection: backends
+        # that hold this relay's clients report first and most often, and do not show whether others have
+        # capacity.
+        unreported = None if choice or is_blocked else probing.before_rejection(state, now, connection)
+        if unreported:
+            connection.probed_before_rejection = True
+            self._wait_for_probe(now, connection, unreported)
         elif choice is None:
             self._give_up(now, connection)
         elif probing.is_needed(state, now, connection, choice.backend):
-            connection.probes += 1
+            connection.probe_count += 1
             self._wait_for_probe(now, connection, choice.backend)
         else:
             self.counts[choice.rule] += 1
@@ -127,37 +137,37 @@
     def _wait_for_probe(self, now: int, connection: Connection, backend: Backend) -> None:
         self.state.awaiting_probe[connection.connection_id] = backend
         probing.probe(self.state, now, backend)
-        self.state.host.set_timer(connection.probe_by - now, PROBE_TOKEN)
+        self.state.host.set_timer(connection.probe_deadline - now, PROBE_TOKEN)
 
     def connection_opened(self, now: int, connection_id: int, took: int) -> None:
-        """An attempt has opened."""
+        """An attempt has succeeded after the given time."""
         connection = self.state.connections.get(connection_id)
         if not connection or not connection.backend or connection.opened_at:
             return
         connection.opened_at = max(1, now)
         connection.backend.pending -= 1
         connection.backend.ejections = 0
-        for suspect in connection.suspects:
-            self.record_failure(self.state, now, suspect)
+        for failed in connection.failed_backends:
+            self.record_failure(self.state, now, failed)
         self.state.in_flight -= 1
-        self.state.window += 1
+        self.state.attempt_limit += 1
         self.state.openings.add(now, 1)
-        retries.learn_time(self.state, now, took)
+        retries.record_duration(self.state, now, took)
 
     def attempt_ended(
         self,
         now: int,
         connection_id: int,
         backend_id: int,
-        over: bool,
+        final: bool,
         outcome: Outcome,
         took: int,
         report: terms.LoadReport | None,
     ) -> None:
-        """An attempt or an open connection has ended; over: its client waits for nothing more."""
+        """An attempt or an open connection has ended; if final, its client waits for no further attempt."""
         state, backend = self.state, self.state.backends[backend_id]
         if report is not None:
-            utilization.learn(state, now, backend, report)
+            utilization.record_report(state, now, backend, report)
         connection = state.connections.get(connection_id)
         if not connection or connection.backend is not backend:
             return
@@ -165,35 +175,41 @@
         if not connection.opened_at:
             self._failed(now, connection, backend, outcome, took)
         elif outcome is Outcome.RESET and backend.state is terms.BackendState.READY:
-            backend.mark_busy(now)  # it dropped a running connection: the design's third sign
-        if over or connection.ended:
+            backend.mark_busy(now)  # a reset of an open connection is taken as overload
+        if final or connection.ended:
             del state.connections[connection_id]
         elif not connection.opened_at and retries.may_retry(state, now, connection):
             self._place(now, connection)
         else:
             self._give_up(now, connection)
 
-    def _failed(self, now: int, connection: Connection, backend: Backend, how: Outcome, took: int) -> None:
+    def _failed(
+        self, now: int, connection: Connection, backend: Backend, outcome: Outcome, took: int
+    ) -> None:
         backend.pending -= 1
         self.state.in_flight -= 1
-        if how not in terms.NEVER_RAN and not connection.executed_by:
+        if outcome not in terms.NEVER_RAN and not connection.executed_by:
             connection.executed_by, connection.executed_at = backend, connection.attempted_at
-        if how is Outcome.NOT_SENT:
+        if outcome is Outcome.NOT_SENT:
             backend.tokens += relative_load(self.state.class_loads, now, connection.load)
-        elif how is Outcome.FULL:
+        elif outcome is Outcome.FULL:
             backend.mark_busy(now)
-        elif how is Outcome.TIMEOUT:  # counts as a slow one, or a slow shared store would never be waited for
-            retries.learn_time(self.state, now, 2 * took)
+        elif outcome is Outcome.TIMEOUT:
+            # Recorded as twice its duration, so that time-outs grow while a shared store is slow.
+            retries.record_duration(self.state, now, 2 * took)
             self.record_failure(self.state, now, backend)
-        elif how is Outcome.CONNECT_FAILED:  # no store stands between: half of all fail in a lost location
+        elif outcome is Outcome.CONNECT_FAILED:
+            # Not counted as a possible shared failure: connecting needs no store, and when a zone is lost
+            # half of all attempts fail.
             ejection.eject(self.state, now, backend)
-        elif how in (Outcome.ERROR, Outcome.RESET):  # one bad client could eject the whole fleet
-            connection.suspects.append(backend)
+        elif outcome in (Outcome.ERROR, Outcome.RESET):
+            # Not counted yet, as one invalid request could eject the whole fleet; see `connection_opened`.
+            connection.failed_backends.append(backend)
 
     def _give_up(self, now: int, connection: Connection) -> None:
         state, connection.ended = self.state, True
-        if len(connection.suspects) == 1:
-            self.record_failure(state, now, connection.suspects[0])
+        if len(connection.failed_backends) == 1:
+            self.record_failure(state, now, connection.failed_backends[0])
         if retries.may_reject(state, connection):
             retry_after = int(state.settings.max_retry_after * (0.5 + 0.5 * state.random()))
             state.host.reject(connection.connection_id, retry_after)
@@ -203,7 +219,7 @@
             del state.connections[connection.connection_id]
 
     def client_gone(self, now: int, connection_id: int) -> None:
-        """The client waits no more, for a probe neither."""
+        """The client has disconnected or its deadline has passed."""
         connection = self.state.connections.get(connection_id)
         if connection:
             connection.ended = True
@@ -212,40 +228,38 @@
                 self.state.awaiting_probe.pop(connection_id, None)
 
     def load_changed(self, now: int, connection_id: int, load: float) -> None:
-        """The load of a connection has changed."""
+        """The measured load of a connection has changed."""
         connection = self.state.connections.get(connection_id)
         if connection and connection.backend:
             self.state.class_loads[connection.request_class].add(now, load)
             backend = connection.backend
             if not connection.load and 0 < connection.opened_at <= backend.reported_at:
-                backend.load_at_report += load  # the report has it; only this relay did not know it
+                backend.load_at_report += load  # the report includes it already
             backend.load += load - connection.load
             connection.load = load
 
     def connection_unresponsive(self, now: int, connection_id: int) -> None:
-        """Lines on an open connection get no answer: a hung or vanished backend, which nothing else tells."""
+        """Messages on an open connection get no answer; nothing else reveals a hung or vanished backend."""
         connection = self.state.connections.get(connection_id)
         if connection and connection.opened_at and not connection.moved:
             rebalance.move(self.state, connection)
 
     def message_delay_changed(self, now: int, backend_id: int, delay: int) -> None:
-        """A backend answers messages after a delay."""
+        """The delay with which a backend answers messages was measured."""
         backend, shortest_goal = self.state.backends[backend_id], self.state.settings.shortest_message_goal
-        backend.delay, backend.delay_at = delay, now
-        if (
-            shortest_goal and delay > shortest_goal // 2
-        ):  # told at once, where a report may be a round of probes old
-            backend.mark_busy(now, rebalance.DELAY_AGE)
+        backend.message_delay, backend.delay_at = delay, now
+        if shortest_goal and delay > shortest_goal // 2:  # a report may be a round of probes old
+            backend.mark_busy(now, rebalance.MAX_DELAY_AGE)
 
     def probe_ended(self, now: int, backend_id: int, answered: bool, report: terms.LoadReport) -> None:
-        """A probe has been answered, or has failed."""
+        """A probe was answered, or has failed."""
         backend = self.state.backends[backend_id]
         if answered:
-            utilization.learn(self.state, now, backend, report)
-        else:  # too busy, hung or gone: the list would say so seconds later, if at all
+            utilization.record_report(self.state, now, backend, report)
+        else:  # busy, hung or gone; the list would reveal it seconds later, if at all
             backend.mark_busy(now)
         self._place_waiting(
-            now, [key for key, probed in self.state.awaiting_probe.items() if probed is backend]
+            now, [waiting for waiting, probed in self.state.awaiting_probe.items() if probed is backend]
         )
 
     def _place_waiting(self, now: int, waiting: list[int]) -> None:
@@ -254,16 +268,16 @@
                 self._place(now, self.state.connections[connection_id])
 
     def drain_started(self, now: int, within: int) -> None:
-        """It ends or is out of service: all are sent away by then, and who comes later is rejected."""
-        self.state.stop_by, self.state.unrepresentative_until = now + within, math.inf
+        """The relay stops or goes out of service: it moves its clients in time and rejects later ones."""
+        self.state.drain_deadline, self.state.unrepresentative_until = now + within, math.inf
 
     def drain_cancelled(self, now: int) -> None:
-        """It is back in service, and who is still here stays. It holds less than its share for a while."""
-        self.state.stop_by = 0
+        """The relay is back in service and keeps its remaining clients, which are fewer than its share."""
+        self.state.drain_deadline = 0
         self.state.settling_until = self.state.unrepresentative_until = now + SETTLING_TIME
 
     def timer_fired(self, now: int, token: int) -> None:
-        """The time has come that the balancer asked to be woken at."""
+        """A timer set by `PolicyHost.set_timer` has expired."""
         if token == LIST_TOKEN:
             self.state.host.request_list()
         elif token == PROBE_TOKEN:
@@ -274,15 +288,15 @@
 
     def _tick(self, now: int) -> None:
         state = self.state
-        state.arrivals_per_backend = state.arrival_rate(now) / max(1, state.ready)
+        state.arrivals_per_backend = state.arrival_rate(now) / max(1, state.ready_count)
         probing.tick(state, now)
-        if now >= self.next_log:
-            self.next_log = now + LOG_INTERVAL
+        if now >= self.next_log_at:
+            self.next_log_at = now + LOG_INTERVAL
             state.host.log("placements " + " ".join(f"{rule} {count}" for rule, count in self.counts.items()))
-        if state.stop_by:
-            rebalance.drain(state, now, state.connections, state.stop_by)
+        if state.drain_deadline:
+            rebalance.drain(state, now, state.connections, state.drain_deadline)
             return
-        for backend in list(state.holding.values()):
+        for backend in list(state.backends_in_use.values()):
             if backend.state is terms.BackendState.DRAINING:
-                rebalance.drain(state, now, backend.connections, backend.drain_by)
+                rebalance.drain(state, now, backend.connections, backend.drain_deadline)
         self.rebalance_connections(state, now)
--- a/cedarledge/policy/probing.py
+++ b/cedarledge/policy/probing.py
@@ -1,36 +1,42 @@
-"""Probing: steady probes, probes of backends in trouble, and probes before placement."""
+"""Probing: periodic probes, extra probes of suspect backends, and probes before a placement."""
 
 from cedarledge.policy.state import Backend, Connection, State
-from cedarledge.policy.utilization import OVERLOADED, REPORT_LIFETIME, current
+from cedarledge.policy.utilization import OVERLOAD_THRESHOLD, REPORT_LIFETIME, estimated_load
 from cedarledge.terms import MS, SECOND, BackendState
 
-SHORTEST_INTERVAL, LONGEST_INTERVAL = SECOND, 4 * SECOND
-PROBES_PER_ARRIVAL = 2  # more cost a large fleet of relays more than their news is worth
-HELD_ROUND, HEAD_START = 5 * SECOND, 3  # those with clients here come in a round, and so many times sooner
-FRESH = 2 * SECOND  # an older report does not tell whether a backend is busy: more was placed since
-ENOUGH_SEEN = 0.25  # of the ready backends: by fewer fresh reports nobody is rejected at once
-MOST_PROBES, PROBE_SHARE = 5, 0.25  # before a placement, within this part of its latency target
+MIN_PROBE_INTERVAL, MAX_PROBE_INTERVAL = SECOND, 4 * SECOND
+PROBES_PER_ARRIVAL = 2  # more would cost backends of many relays more than the reports are worth
+# Backends with clients of this relay are probed once in the round time, and earlier by the priority factor.
+IN_USE_ROUND_TIME, IN_USE_PRIORITY = 5 * SECOND, 3
+MAX_REPORT_AGE = 2 * SECOND  # an older report is no basis for a placement, as others were made since
+MIN_REPORTED_SHARE = 0.25  # of the ready backends; with fewer recent reports a rejection needs a probe
+# The probes before a placement, and the part of its latency target in which they must be answered.
+MAX_PROBES_PER_PLACEMENT, PROBE_TIME_SHARE = 5, 0.25
 
 
 def is_needed(state: State, now: int, connection: Connection, backend: Backend) -> bool:
-    """Whether the chosen backend's report is too old to go by, as most are at a relay among hundreds."""
-    if not state.settings.probes or connection.probes >= MOST_PROBES or now > connection.probe_by - MS:
+    """Returns whether the chosen backend must be probed first; with many relays most reports are too old."""
+    if (
+        not state.settings.probes
+        or connection.probe_count >= MAX_PROBES_PER_PLACEMENT
+        or now > connection.probe_deadline - MS
+    ):
         return False
-    return now - backend.reported_at > FRESH and not backend.is_cold(now)
+    return now - backend.reported_at > MAX_REPORT_AGE and not backend.is_cold(now)
 
 
 def before_rejection(state: State, now: int, connection: Connection) -> Backend | None:
-    """The backend to probe before a connection is rejected by few reports; none where they are enough."""
-    if not state.settings.probes or connection.tried or connection.probed_to_reject:
+    """Returns the backend to probe before a connection is rejected; None if there are enough reports."""
+    if not state.settings.probes or connection.attempted_backends or connection.probed_before_rejection:
         return None
-    if now > connection.probe_by - MS or _has_seen_enough(state, now):
+    if now > connection.probe_deadline - MS or _has_enough_reports(state, now):
         return None
-    unseen = (one for one in state.probe_order.values() if now - one.reported_at >= REPORT_LIFETIME)
-    return next((one for one in unseen if _is_warm(one, now)), None)
+    unreported = (one for one in state.probe_order.values() if now - one.reported_at >= REPORT_LIFETIME)
+    return next((one for one in unreported if _is_warm(one, now)), None)
 
 
-def _has_seen_enough(state: State, now: int) -> bool:
-    missing = ENOUGH_SEEN * state.ready
+def _has_enough_reports(state: State, now: int) -> bool:
+    missing = MIN_REPORTED_SHARE * state.ready_count
     for backend in reversed(state.report_order.values()):
         if missing <= 0 or now - backend.reported_at >= REPORT_LIFETIME:
             break
@@ -43,60 +49,69 @@
 
 
 def time_out(state: State, now: int) -> list[int]:
-    """The connections that have waited too long for a probe: what is late is no better at taking them."""
-    # A host may count in coarser units and wake a little early; one passed over then would be lost.
-    late = [waiting for waiting in state.awaiting_probe if now > state.connections[waiting].probe_by - MS]
+    """Returns the connections whose probe is overdue, and marks the probed backends as busy."""
+    # A host with a coarser clock may fire slightly early; a connection skipped then would never be placed.
+    late = [
+        waiting for waiting in state.awaiting_probe if now > state.connections[waiting].probe_deadline - MS
+    ]
     for connection_id in late:
         state.awaiting_probe[connection_id].mark_busy(now)
     return late
 
 
 def tick(state: State, now: int) -> None:
-    """Sends the probes that are due."""
-    if not state.ready or not state.settings.probes:
+    """Sends the periodic and extra probes that are due."""
+    if not state.ready_count or not state.settings.probes:
         return
     interval = _interval(state, now)
-    held = [backend for backend in state.holding.values() if backend.state is BackendState.READY]
-    if now >= state.next_probe:
-        state.next_probe = now + interval
-        # The longest unprobed, which meets new backends soon, with a head start for those with clients here.
-        first = longest_unprobed(state)
-        sooner = min(held, key=_turn, default=first)
-        probe(state, now, sooner if HEAD_START * (now - sooner.probed_at) > now - first.probed_at else first)
-    # Before their turn, but once an interval: in a storm that all relays feel more cost more than they tell.
-    held = [backend for backend in held if now - backend.probed_at >= interval]
-    doubtful = [backend for backend in held if _is_doubtful(state, now, backend)]
-    if doubtful and now >= state.next_doubtful_probe:
-        state.next_doubtful_probe = now + interval
-        probe(state, now, min(doubtful, key=_turn))
-
-
-def longest_unprobed(state: State) -> Backend | None:
-    """The ready backend whose turn to be probed is next."""
+    in_use = [backend for backend in state.backends_in_use.values() if backend.state is BackendState.READY]
+    if now >= state.next_probe_at:
+        state.next_probe_at = now + interval
+        # The least recently probed backend, so that new ones are probed soon; those in use come earlier.
+        first = least_recently_probed(state)
+        first_in_use = min(in_use, key=_probe_priority, default=first)
+        probe(
+            state,
+            now,
+            first_in_use
+            if IN_USE_PRIORITY * (now - first_in_use.probed_at) > now - first.probed_at
+            else first,
+        )
+    # Suspect backends are probed out of turn, but only one per interval: during an overload that all relays
+    # observe, more probes would cost more than the reports are worth.
+    in_use = [backend for backend in in_use if now - backend.probed_at >= interval]
+    suspects = [backend for backend in in_use if _is_suspect(state, now, backend)]
+    if suspects and now >= state.next_suspect_probe_at:
+        state.next_suspect_probe_at = now + interval
+        probe(state, now, min(suspects, key=_probe_priority))
+
+
+def least_recently_probed(state: State) -> Backend | None:
+    """Returns the ready backend that was not probed for the longest time; None if there is none."""
     return next((one for one in state.probe_order.values() if one.state is BackendState.READY), None)
 
 
-def _turn(backend: Backend) -> tuple[int, float]:
+def _probe_priority(backend: Backend) -> tuple[int, float]:
     return backend.probed_at, backend.tie_break
 
 
-def _is_doubtful(state: State, now: int, backend: Backend) -> bool:
-    is_overloaded = backend.ejections or max(backend.reported, current(state, now, backend)) > OVERLOADED
+def _is_suspect(state: State, now: int, backend: Backend) -> bool:
+    is_overloaded = (
+        backend.ejections or max(backend.reported, estimated_load(state, now, backend)) > OVERLOAD_THRESHOLD
+    )
     return is_overloaded or now < backend.busy_until
 
 
 def _interval(state: State, now: int) -> int:
-    """The time between steady probes: a relay with few arrivals needs few, and has many beside it."""
-    wanted = SECOND / max(PROBES_PER_ARRIVAL * state.arrival_rate(now), 0.1)
-    if (
-        not state.settings.message_delays_known
-    ):  # only a probe tells of a slow backend, to its open connections
-        wanted = HELD_ROUND / max(1, len(state.holding))
-    return int(min(max(SHORTEST_INTERVAL, wanted), LONGEST_INTERVAL))
+    """Returns the time between periodic probes; relays with few arrivals need few, and are usually many."""
+    interval = SECOND / max(PROBES_PER_ARRIVAL * state.arrival_rate(now), 0.1)
+    if not state.settings.message_delays_known:  # then only probes reveal slow backends of open connections
+        interval = IN_USE_ROUND_TIME / max(1, len(state.backends_in_use))
+    return int(min(max(MIN_PROBE_INTERVAL, interval), MAX_PROBE_INTERVAL))
 
 
 def probe(state: State, now: int, backend: Backend) -> None:
-    """Probes a backend."""
+    """Probes a backend, which is then last in the order of periodic probes."""
     backend.probed_at = now
     state.probe_order[backend.backend_id] = state.probe_order.pop(backend.backend_id)
     state.host.probe(backend.backend_id)
--- a/cedarledge/policy/shedding.py
+++ b/cedarledge/policy/shedding.py
@@ -1,52 +1,60 @@
-"""Load shedding: which part of the load is rejected while the fleet is full, so that the rest is served."""
+"""Load shedding: selects the part of the load to reject while the fleet is full, to serve the rest."""
 
 from cedarledge.policy.cells import hash64, unit_hash
 from cedarledge.policy.estimators import mean_load
 from cedarledge.policy.state import TICK, Connection, State
-from cedarledge.policy.utilization import FULL, FULL_WITH_GROUPS
+from cedarledge.policy.utilization import FULL_THRESHOLD, GROUPED_FULL_THRESHOLD
 from cedarledge.terms import SECOND
 
-TARGET_LOAD = 0.8  # what backends are relieved to
-ORDER_SALT = 1 << 40  # sets the shed order apart from that of the cells
+TARGET_LOAD = 0.8  # to which overloaded backends are relieved
+ORDER_SALT = 1 << 40  # makes the shed order independent of the ranking of cells
 
 
-def sheds(state: State, connection: Connection) -> bool:
-    """Whether a connection is in the part that is shed: what earns least for its load, then by its key."""
-    # What few or old reports say is no reason to reject what the rest of the fleet may have room for.
-    return state.shed_fraction > 0 and shed_place(state, connection) < state.shed_fraction * state.evidence
+def is_shed(state: State, connection: Connection) -> bool:
+    """Returns whether a connection is in the part to shed: that of the least credit per load, then by key."""
+    # Few or old reports justify less shedding, as the rest of the fleet may have capacity.
+    return (
+        state.shed_fraction > 0
+        and shed_position(state, connection) < state.shed_fraction * state.sample_confidence
+    )
 
 
-def shed_place(state: State, connection: Connection) -> float:
-    """A connection's place in the shed order, from 0 (the first to be shed) to 1."""
-    if connection.shed_draw is None:
-        # So the same clients are told no each time, and groups whole: they are paid for until the last goes.
+def shed_position(state: State, connection: Connection) -> float:
+    """Returns a connection's position in the shed order, from 0 (the first to be shed) to 1."""
+    if connection.position_in_class is None:
+        # A hash, so that the same clients are rejected each time, and groups as a whole: their shared work is
+        # needed until the last connection ends.
         key = connection.group or connection.key
-        connection.shed_draw = unit_hash(hash64(key), ORDER_SALT) if key else state.random()
+        connection.position_in_class = unit_hash(hash64(key), ORDER_SALT) if key else state.random()
     start, width = state.shed_order[connection.request_class]
-    place = start + width * connection.shed_draw
+    position = start + width * connection.position_in_class
     tenant, quotas = connection.tenant, state.settings.tenant_quotas
     quota = quotas[tenant] if tenant is not None and tenant < len(quotas) else 0
-    if quota and state.by_tenant[tenant] >= quota / state.settings.relays:
-        place *= state.settings.over_quota_credit_factor
-    return place
+    if quota and state.connections_by_tenant[tenant] >= quota / state.settings.relays:
+        position *= state.settings.over_quota_credit_factor
+    return position
 
 
 def update(state: State, now: int, fleet: float) -> None:
-    """Follows how much must be shed for the rest to be served, at a mean load of the fleet."""
+    """Adjusts the shed fraction and the shed order to the fleet's mean load; called once per tick."""
     grouped = state.settings.grouped
-    if fleet <= (FULL_WITH_GROUPS if grouped else FULL) and not state.shed_fraction:
+    if fleet <= (GROUPED_FULL_THRESHOLD if grouped else FULL_THRESHOLD) and not state.shed_fraction:
         return
     classes = state.settings.profiles
-    usual = [mean_load(state.class_loads, now, index) or 1.0 for index in range(len(classes))]
-    asked = [load * (offered.read(now) + 0.1) for load, offered in zip(usual, state.offered, strict=True)]
-    total, start = sum(asked), 0.0
-    for index in sorted(range(len(classes)), key=lambda index: classes[index].credit / usual[index]):
-        state.shed_order[index] = start, asked[index] / total
-        start += asked[index] / total
-    if grouped:  # arrivals alone are shed: a part that adds up against the rest would end at all of them
-        wanted = min(max(0.0, (fleet - FULL_WITH_GROUPS) / (TARGET_LOAD - FULL_WITH_GROUPS)), 1.0)
+    mean_loads = [mean_load(state.class_loads, now, index) or 1.0 for index in range(len(classes))]
+    demand = [
+        load * (offered.read(now) + 0.1)
+        for load, offered in zip(mean_loads, state.offered_arrivals, strict=True)
+    ]
+    total, start = sum(demand), 0.0
+    for index in sorted(range(len(classes)), key=lambda index: classes[index].credit / mean_loads[index]):
+        state.shed_order[index] = start, demand[index] / total
+        start += demand[index] / total
+    if grouped:
+        # Only arrivals are shed, no open connections: a fraction that integrates would grow until it is 1.
+        target = min(max(0.0, (fleet - GROUPED_FULL_THRESHOLD) / (TARGET_LOAD - GROUPED_FULL_THRESHOLD)), 1.0)
     else:
-        wanted = max(0.0, 1 - (1 - state.shed_fraction) * FULL / max(fleet, 0.1))
-    state.shed_fraction += (wanted - state.shed_fraction) * TICK / SECOND
+        target = max(0.0, 1 - (1 - state.shed_fraction) * FULL_THRESHOLD / max(fleet, 0.1))
+    state.shed_fraction += (target - state.shed_fraction) * TICK / SECOND
     if state.shed_fraction < 0.005:
         state.shed_fraction = 0.0
--- a/cedarledge/policy/trials.py
+++ b/cedarledge/policy/trials.py
@@ -1,8 +1,8 @@
-"""Trials: a relay that has rejected all it got for a while attempts one connection, whatever it believes.
+"""Trials: a relay that has rejected all requests for a time attempts one, regardless of its load estimates.
 
-Rejecting brings no news: a relay that rejects everything does not find out that it need not. So it behaves as
-a circuit breaker that is half open. Which connection goes, and where to, matters more than that one goes:
-there may be more relays than connections that a full fleet can take each second, and most are trials then.
+A relay that rejects everything gets no reports that could show that it need not, so it acts like a half-open
+circuit breaker. The choice of connection and backend matters: with more relays than connections that a full
+fleet can accept per second, most of the accepted connections are trials.
 """
 
 from __future__ import annotations
@@ -11,25 +11,26 @@
 from cedarledge.policy.state import Connection, State, UnattemptedArrival
 from cedarledge.terms import SECOND
 
-WINDOW = 4 * SECOND  # in which no relay may reject fifteen and attempt none
-BEST_FROM = 8  # arrivals without an attempt: from then on the best of them is a trial
-BEST_AFTER, ANY_AFTER = SECOND, 2 * SECOND  # since the last attempt: a burst alone is no reason for a trial
+WINDOW = 4 * SECOND  # the time in which no relay may reject fifteen requests and attempt none
+BEST_TRIAL_ARRIVALS = 8  # after so many arrivals without an attempt, the best of them is a trial
+# The time since the last attempt before a trial, so that a burst of arrivals alone causes none.
+BEST_TRIAL_DELAY, ANY_TRIAL_DELAY = SECOND, 2 * SECOND
 
 
 def record_arrival(state: State, now: int, connection: Connection) -> None:
-    """Counts an arrival until the next attempt."""
-    state.unattempted.append(UnattemptedArrival(now, shedding.shed_place(state, connection)))
+    """Records an arrival; it is kept until the next attempt."""
+    state.unattempted_arrivals.append(UnattemptedArrival(now, shedding.shed_position(state, connection)))
 
 
 def record_attempt(state: State, now: int) -> None:
-    """Begins the count anew."""
-    state.unattempted.clear()
-    state.attempted_at = now
+    """Records an attempt, which discards the recorded arrivals."""
+    state.unattempted_arrivals.clear()
+    state.last_attempt_at = now
 
 
 def is_due(state: State, now: int, connection: Connection) -> bool:
-    """Whether a connection that would be rejected is attempted as a trial; once it is, it stays one."""
-    if connection.tried:
+    """Returns whether to attempt an otherwise rejected connection as a trial; a trial remains one."""
+    if connection.attempted_backends:
         return False
     if not connection.is_trial:
         connection.is_trial = _is_chosen(state, now, connection)
@@ -37,10 +38,10 @@
 
 
 def _is_chosen(state: State, now: int, connection: Connection) -> bool:
-    places = [arrival.place for arrival in state.unattempted if now - arrival.at < WINDOW]
-    waited = now - state.attempted_at
-    if len(places) == state.unattempted.maxlen and waited >= ANY_AFTER:
+    positions = [arrival.shed_position for arrival in state.unattempted_arrivals if now - arrival.at < WINDOW]
+    elapsed = now - state.last_attempt_at
+    if len(positions) == state.unattempted_arrivals.maxlen and elapsed >= ANY_TRIAL_DELAY:
         return True
-    # The last in the shed order, of those that came: all relays then try the same classes and groups.
-    is_best = shedding.shed_place(state, connection) >= max(places, default=0.0)
-    return is_best and len(places) >= BEST_FROM and waited >= BEST_AFTER
+    # The last of the recorded arrivals in the shed order, so that all relays try the same classes and groups.
+    is_best = shedding.shed_position(state, connection) >= max(positions, default=0.0)
+    return is_best and len(positions) >= BEST_TRIAL_ARRIVALS and elapsed >= BEST_TRIAL_DELAY
--- a/cedarledge/terms.py
+++ b/cedarledge/terms.py
@@ -1,7 +1,7 @@
-"""The plain types that the decision module and whoever hosts it share.
+"""Types shared by the load-balancing policy and its hosts, and the interface that a host implements.
 
-Times and durations are whole nanoseconds. A backend (ep), profile, tenant, zone, machine kind and
-tunnel (tun) is a small index that the host hands out; it means nothing but identity.
+Times and durations are integers in nanoseconds. Backends, connections, request classes, tenants, zones and
+host types are identified by small integers that the host assigns; these carry no other meaning.
 """
 
 from __future__ import annotations
@@ -14,13 +14,15 @@
 
 
 class Effect(IntEnum):
+    """What may happen if two backends execute the same request."""
+
     REPEATABLE = 0
     REFERENCED = 1
     ONCE_ONLY = 2
 
 
 class Dedup(IntEnum):
-    """The backends that discard repeats of a referenced tunnel."""
+    """The backends that share deduplication state and so discard repeats of a `REFERENCED` request."""
 
     CELL = 0
     ZONE = 1
@@ -28,6 +30,8 @@
 
 
 class Outcome(IntEnum):
+    """How an attempt, or the open connection that followed it, ended."""
+
     DONE = 0
     ERROR = 1
     FULL = 2
@@ -42,12 +46,16 @@
 
 
 class BackendState(IntEnum):
+    """Whether a backend accepts new connections, only keeps its open ones, or has left the list."""
+
     READY = 0
     DRAINING = 1
     GONE = 2
 
 
 class ListForm(IntEnum):
+    """What a list update contains: changed entries, all entries, the entries known at start, or nothing."""
+
     CHANGES = 0
     WHOLE = 1
     RESTORED = 2
@@ -55,7 +63,7 @@
 
 
 class BackendEntry(NamedTuple):
-    """One backend as the list tells of it."""
+    """A backend as described by the backend list."""
 
     backend_id: int
     cell: int
@@ -64,34 +72,34 @@
     weight: float
     state: BackendState
     started_at: int  # 0: long ago
-    hash_id: int  # a number below 2**63 that every relay has for this backend
+    hash_id: int  # below 2**63, and the same at every relay
 
 
 class LoadReport(NamedTuple):
-    """What a backend says of itself; None where the site does not report it."""
+    """The load that a backend reports; a field is None if the deployment does not report it."""
 
     outstanding: float | None = None
     queued: float | None = None
     busy_share: float | None = None
     service_time: int | None = None
     errors_per_s: float | None = None
-    offered_load: float | None = None  # load asked over what the backend can do
+    offered_load: float | None = None  # work requested, divided by the backend's capacity
     queue_delay: int | None = None
 
 
 class RequestClassSettings(NamedTuple):
-    """What differs by profile."""
+    """The settings of one request class."""
 
     effect: Effect
     dedup: Dedup
-    window: int
+    window: int  # how long backends remember a request in order to discard its repeats
     setup_goal: int
-    message_goal: int  # 0: not told
+    message_goal: int  # 0: not configured
     credit: float
 
 
 class DeploymentSettings(NamedTuple):
-    """What a relay is told at its start."""
+    """The configuration that a relay's policy receives at its start."""
 
     start_time: int
     seed: int
@@ -99,45 +107,66 @@
     relays: int
     zone: int
     profiles: tuple[RequestClassSettings, ...]
-    weighted: bool  # the list's weights differ from each other by capability
-    requests_list: bool
+    weighted: bool  # whether the list's weights express different capacities
+    requests_list: bool  # whether the policy has to request the backend list
     list_request_interval: int
-    probes: bool
-    message_delays_known: (
-        bool  # the host hears how long messages take at a backend, not only that none come back
-    )
-    max_retry_after: int  # 0: clients are not told when to return
+    probes: bool  # whether backends may be probed
+    message_delays_known: bool  # the host measures message delays of backends, not only missing answers
+    max_retry_after: int  # 0: rejected clients are not told when to retry
     max_attempts: int
-    cold_capacity_share: float
+    cold_capacity_share: float  # capacity of a backend that has just started, relative to a warm one
     warmup_duration: int
-    overload_multiple: float
-    overload_duration: int
-    grouped: bool
-    tenant_quotas: tuple[float, ...]  # open connections within each tenant's share; 0: not told
+    overload_multiple: float  # a cold backend fails under a load of this multiple of its capacity
+    overload_duration: int  # how long such a load has to last until it fails
+    grouped: bool  # whether connections of one group share work at a backend
+    tenant_quotas: tuple[float, ...]  # open connections that each tenant is entitled to; 0: not configured
     over_quota_credit_factor: float
-    cross_zone_cost: float = 0.0  # part of a tunnel's credit that a setup in another location costs
-    zone_count: int = 0  # in the deployment; 0: not told
+    cross_zone_cost: float = 0.0  # the part of a connection's credit that an attempt in another zone costs
+    zone_count: int = 0  # in the deployment; 0: not configured
 
     @property
     def shortest_message_goal(self) -> int:
-        """The shortest message goal; 0: none is told."""
+        """The shortest message goal of all request classes; 0 if none is configured."""
         return min((row.message_goal for row in self.profiles if row.message_goal), default=0)
 
 
 class ExternalView(NamedTuple):
-    """What other subsystems know that bears on the choice, as plain values; the defaults say nothing."""
+    """What other subsystems contribute to placement decisions; the defaults have no effect."""
 
-    excluded: frozenset[int] = frozenset()  # backends that get nothing new; who is there stays
+    excluded: frozenset[int] = frozenset()  # backends that keep their open connections but get no new ones
 
 
 class PolicyHost(Protocol):
-    """What the decision module may have done; every call takes effect at the time of the running event."""
-
-    def attempt(self, connection_id: int, backend_id: int, timeout: int) -> None: ...
-    def reject(self, connection_id: int, retry_after: int) -> None: ...
-    def close_with_error(self, connection_id: int) -> None: ...
-    def move(self, connection_id: int) -> None: ...
-    def probe(self, backend_id: int) -> None: ...
-    def set_timer(self, delay: int, token: int) -> None: ...
-    def request_list(self) -> None: ...
-    def log(self, text: str) -> None: ...
+    """Actions that the policy requests from its host; each takes effect at the time of the current event."""
+
+    def attempt(self, connection_id: int, backend_id: int, timeout: int) -> None:
+        """Attempts to open a connection at a backend within the timeout."""
+        ...
+
+    def reject(self, connection_id: int, retry_after: int) -> None:
+        """Tells the client that it may retry, after the given delay if that is above 0."""
+        ...
+
+    def close_with_error(self, connection_id: int) -> None:
+        """Tells the client that its request failed; a retry might execute the request twice."""
+        ...
+
+    def move(self, connection_id: int) -> None:
+        """Asks the client of an open connection to reconnect, so that it can be placed at another backend."""
+        ...
+
+    def probe(self, backend_id: int) -> None:
+        """Requests a load report; the result arrives in `Balancer.probe_ended`."""
+        ...
+
+    def set_timer(self, delay: int, token: int) -> None:
+        """Calls `Balancer.timer_fired` with the token after the delay."""
+        ...
+
+    def request_list(self) -> None:
+        """Requests the backend list and its changes, which arrive in `Balancer.list_changed`."""
+        ...
+
+    def log(self, text: str) -> None:
+        """Writes a line to the relay's log."""
+        ...
--- a/tests/estimate_error.py
+++ b/tests/estimate_error.py
@@ -68,7 +68,7 @@
     def _read(self, relay: Relay, true: float, warm: list[int]) -> Reading:
         state = relay.balancer.state
         fresh = sum(relay._is_fresh(backend_id) for backend_id in warm) / len(warm)
-        shed = min(1.0, state.shed_fraction * state.evidence)
+        shed = min(1.0, state.shed_fraction * state.sample_confidence)
         return Reading(self.deployment, state.fleet_load, true, fresh, shed)
 
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -11,7 +11,7 @@
 from cedarledge.policy import utilization
 from cedarledge.policy.cells import hash64, unit_hash
 from cedarledge.policy.placement import SKIP_FACTOR
-from cedarledge.policy.probing import MOST_PROBES
+from cedarledge.policy.probing import MAX_PROBES_PER_PLACEMENT
 from cedarledge.policy.state import TICK
 from cedarledge.terms import BackendState, ListForm, Outcome
 
@@ -326,7 +326,10 @@
     for tun in tuns:
         if placed(ledger, tun) == crowded:
             ledger.balancer.load_changed(ledger.now, tun, 250.0)
-    assert utilization.current(ledger.balancer.state, ledger.now, ledger.balancer.state.backends[crowded]) > 1
+    assert (
+        utilization.estimated_load(ledger.balancer.state, ledger.now, ledger.balancer.state.backends[crowded])
+        > 1
+    )
     ledger.probes.clear()
     ledger.run(4 * TICK)
     assert not ledger.moves and crowded in [ep for _, ep in ledger.probes]
@@ -360,7 +363,7 @@
     ledger.told[top] = 2.0
     ledger.probes.clear()
     assert placed(ledger, ledger.arrive(key="one")) != top
-    assert 2 <= len(ledger.probes) <= MOST_PROBES
+    assert 2 <= len(ledger.probes) <= MAX_PROBES_PER_PLACEMENT
 
 
 def test_a_look_that_is_not_answered_sends_the_tunnel_elsewhere_within_its_goal() -> None:
@@ -402,7 +405,9 @@
         ledger.run(SECOND)
         top = ledger.balancer.state.backends[placed(ledger, ledger.arrive(key="one", hint=100.0))]
         # What one more connection like those it holds adds, in loads of the member.
-        seen[relays] = (utilization.current(ledger.balancer.state, ledger.now, top) - 0.3) / 0.3 * relays
+        seen[relays] = (
+            (utilization.estimated_load(ledger.balancer.state, ledger.now, top) - 0.3) / 0.3 * relays
+        )
     assert 0.6 * 4 < seen[4] <= 4
     assert 1 <= seen[400] < 0.1 * 400
 
@@ -445,7 +450,7 @@
     ledger.now += 16 * SECOND
     for ep in range(15, 20):
         ledger.report(ep, 0.4)
-    assert utilization.fleet(ledger.balancer.state, ledger.now) < 0.5
+    assert utilization.fleet_load(ledger.balancer.state, ledger.now) < 0.5
 
 
 def test_the_own_location_comes_first_where_a_crossing_is_dear_until_it_is_nearly_full() -> None:
@@ -470,7 +475,7 @@
         ledger.run(SECOND)
         for ep in range(6):
             ledger.report(ep, load if ep != home else 0.93)
-        ledger.balancer.state.fleet_load_until, ledger.balancer.state.shed_fraction = 0, 0.0
+        ledger.balancer.state.fleet_load_expires_at, ledger.balancer.state.shed_fraction = 0, 0.0
         assert (placed(ledger, ledger.arrive(key="two", group="g")) == home) is stays
 
 
@@ -594,7 +599,7 @@
         if comes_back:
             ledger.balancer.drain_cancelled(ledger.now)
         else:
-            ledger.balancer.state.stop_by = 0
+            ledger.balancer.state.drain_deadline = 0
         before = len(ledger.declines)
         for number in range(30):
             tun = ledger.arrive(hint=400.0, key=f"back{number}")
@@ -631,8 +636,8 @@
     balancer = ledger.balancer
 
     def learned() -> list[float]:
-        balancer.state.fleet_load_until = 0
-        utilization.fleet(balancer.state, ledger.now)
+        balancer.state.fleet_load_expires_at = 0
+        utilization.fleet_load(balancer.state, ledger.now)
         return [
             balancer.state.fill_rate,
             *(
--- a/tests/test_policy_groups.py
+++ b/tests/test_policy_groups.py
@@ -82,7 +82,7 @@
     ledger.run(3 * SECOND)
     for backend_id in range(8):
         ledger.report(backend_id, 1.1 if backend_id == 0 else others)
-    ledger.balancer.state.fleet_load_until = 0
+    ledger.balancer.state.fleet_load_expires_at = 0
     ledger.run(2 * TICK)
     assert bool(ledger.moves) is moves
 
@@ -129,9 +129,9 @@
         ledger.balancer.probe_ended(
             ledger.now, backend_id, True, LoadReport(offered_load=0.9 if backend_id < 4 else 0.1)
         )
-    state.fleet_load_until = 0
+    state.fleet_load_expires_at = 0
     assert state.host_type_capacity[1].weight.read(ledger.now) == 0
-    assert utilization.fleet(state, ledger.now) == approx(0.5, abs=0.05)
+    assert utilization.fleet_load(state, ledger.now) == approx(0.5, abs=0.05)
 
 
 def test_with_no_reports_at_all_cold_backends_get_a_careful_part_of_their_budget() -> None:
--- a/tests/test_policy_overload.py
+++ b/tests/test_policy_overload.py
@@ -17,14 +17,14 @@
 from cedarledge.policy import utilization
 from cedarledge.policy.cells import hash64, unit_hash
 from cedarledge.policy.shedding import ORDER_SALT
-from cedarledge.policy.state import MOST_UNATTEMPTED, State
+from cedarledge.policy.state import MAX_UNATTEMPTED, State
 from cedarledge.terms import MS, ExternalView, ListForm, LoadReport, Outcome
 
 
 def fleet_load(state: State, now: int) -> float:
     """The mean as it is now, not as it was a moment ago."""
-    state.fleet_load_until = 0
-    return utilization.fleet(state, now)
+    state.fleet_load_expires_at = 0
+    return utilization.fleet_load(state, now)
 
 
 def test_a_connection_that_was_open_before_this_relay_is_no_change_since_a_report() -> None:
@@ -192,7 +192,7 @@
     ledger = full_fleet()
     attempted = arrive_in_turn(ledger, 60, SECOND // 4, [f"group {number}" for number in range(60)])
     marks = [-1, *attempted, 60]
-    assert max(after - before - 1 for before, after in pairwise(marks)) <= MOST_UNATTEMPTED
+    assert max(after - before - 1 for before, after in pairwise(marks)) <= MAX_UNATTEMPTED
 
 
 def test_a_relay_that_gets_little_attempts_nothing_in_a_full_fleet() -> None:
@@ -202,7 +202,7 @@
 
 def test_a_burst_alone_brings_no_trial() -> None:
     ledger = full_fleet()
-    ledger.balancer.state.attempted_at = ledger.now
+    ledger.balancer.state.last_attempt_at = ledger.now
     assert not arrive_in_turn(ledger, 40, 0, ["group"])
 
 
