--- a/cedarledge/fleet.py
+++ b/cedarledge/fleet.py
@@ -13,8 +13,8 @@
 
 from cedarledge import __version__
 from cedarledge.net.config import BadConfigError, RelayConfig
+from cedarledge.net.interfaces import Observer
 from cedarledge.net.relay import Relay
-from cedarledge.net.seams import Hearer
 from cedarledge.operator.file import OperatorFile, PeersTable
 from cedarledge.peers.machine import Pace, Peers
 from cedarledge.peers.messages import PLAIN, Value
@@ -27,14 +27,14 @@
 RATE_OVER = 4 * SECOND
 
 
-class Newcomers(Hearer):
+class Newcomers(Observer):
     """How many come in a second, over the last whole span."""
 
     def __init__(self) -> None:
         self._since = self._count = 0
         self.rate = 0.0
 
-    def arrived(self, now: int, tun: int, profile: int, returning: bool) -> None:
+    def arrived(self, now: int, tunnel_id: int, profile: int, returning: bool) -> None:
         self._count += 1
 
     def read(self, now: int) -> float:
@@ -63,7 +63,7 @@
             f"peers are on, and the relay's name is not 1 to 64 plain characters: {config.name!r}"
         )
     newcomers = Newcomers()
-    relay.listens(newcomers)
+    relay.add_observer(newcomers)
     zone = str(config.settings.get("zone") or "").encode("ascii", "replace").decode()[:64]
     digest = digest_of(config.settings)
 
--- a/cedarledge/net/boxlist.py
+++ b/cedarledge/net/boxlist.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from cedarledge.net.config import Address, parse_address
-from cedarledge.net.module import Module
 from cedarledge.net.observers import Observers
+from cedarledge.net.policy_host import RelayPolicyHost
 from cedarledge.net.start_times import StartTimes
 from cedarledge.settings import Indices, stable_hash
 from cedarledge.terms import MS, BackendEntry, BackendState, ListForm
@@ -25,10 +25,12 @@
     runs from when discovery wrote it. What operators say of a box is merged in here: one that they have taken
     out reaches the module as one that drains, whatever the list says of it."""
 
-    def __init__(self, module: Module, observers: Observers, settings: Mapping[str, Any]) -> None:
-        self.module = module
+    def __init__(
+        self, policy_host: RelayPolicyHost, observers: Observers, settings: Mapping[str, Any]
+    ) -> None:
+        self.policy_host = policy_host
         self.observers = observers
-        self.eps = Indices()
+        self.backend_ids = Indices()
         self.zones = Indices(settings.get("dcs"))
         self.kinds = Indices(settings.get("host_types"))
         self.addresses: dict[int, Address] = {}  # of all that a list has ever named
@@ -37,21 +39,21 @@
         self.heard = False  # of discovery itself, not only what this relay was started with
         self.banned: dict[int, int] = {}  # taken out by operators, and since when
         self.back: dict[int, int] = {}  # put back by them, and when
-        self.start_times = StartTimes(module.clock)
+        self.start_times = StartTimes(policy_host.clock)
 
     def entry(self, told: Mapping[str, Any]) -> BackendEntry:
         """One entry in the module's terms. Raises KeyError, TypeError or ValueError for what is none."""
         # What the page does not name gets nothing new, as a draining one; the rest of the list still counts.
         standing = PHASES.get(told["phase"], BackendState.DRAINING)
-        ep = self.eps[told["id"]]
+        backend_id = self.backend_ids[told["id"]]
         if standing is not BackendState.GONE:
-            self.addresses[ep] = parse_address(told["host_port"])
-        if standing is BackendState.READY and ep in self.banned:
+            self.addresses[backend_id] = parse_address(told["host_port"])
+        if standing is BackendState.READY and backend_id in self.banned:
             standing = BackendState.DRAINING
         # One that was put back was started anew while it was out; the list may learn of that later.
-        started = max(self.start_of(ep, told), self.back.get(ep, 0))
+        started = max(self.start_of(backend_id, told), self.back.get(backend_id, 0))
         return BackendEntry(
-            ep,
+            backend_id,
             int(told.get("cell") or 0),
             self.zones[told.get("locality")],
             self.kinds[told.get("flavor")],
@@ -88,7 +90,7 @@
         self.changed(form, entries)
 
     def lost(self) -> None:
-        self.module.tell(self.module.balancer.list_changed, ListForm.UNAVAILABLE, [])
+        self.policy_host.call(self.policy_host.balancer.list_changed, ListForm.UNAVAILABLE, [])
         self.observers.notify("listed", ListForm.UNAVAILABLE, [])
 
     def changed(self, form: ListForm, entries: list[BackendEntry]) -> None:
@@ -96,35 +98,35 @@
             self.ready.clear()
         self.ready -= {entry.backend_id for entry in entries}
         self.ready |= {entry.backend_id for entry in entries if entry.state is BackendState.READY}
-        self.module.tell(self.module.balancer.list_changed, form, entries)
+        self.policy_host.call(self.policy_host.balancer.list_changed, form, entries)
         self.observers.notify("listed", form, entries)
 
     def set_aside(self, names: Collection[str]) -> None:
         """What the operator wants nothing new sent to. A box that is not on the list yet is known by its
         name."""
-        self.module.knows(excluded=frozenset(self.eps[name] for name in names))
+        self.policy_host.update_external_view(aside=frozenset(self.backend_ids[name] for name in names))
 
     # -- what operators call -----------------------------------------------------------------------
 
     def known(self, name: str) -> int | None:
         """Whom a list has ever named; a ban may outlast its place there."""
-        ep = self.eps.get(name)
-        return ep if ep in self.addresses or ep in self.banned else None
+        backend_id = self.backend_ids.get(name)
+        return backend_id if backend_id in self.addresses or backend_id in self.banned else None
 
-    def ban(self, ep: int, now: int) -> None:
+    def ban(self, backend_id: int, now: int) -> None:
         """Nothing new goes there until it is put back, whatever any list says; twice is once."""
-        if self.banned.setdefault(ep, now) == now:
-            self._tell_again(ep)
+        if self.banned.setdefault(backend_id, now) == now:
+            self._tell_again(backend_id)
 
-    def put_back(self, ep: int, now: int) -> None:
-        since = self.banned.pop(ep, None)
+    def put_back(self, backend_id: int, now: int) -> None:
+        since = self.banned.pop(backend_id, None)
         if since is None:
             return
-        told = self.listed.get(ep)
-        if told is None or self.start_of(ep, told) <= since:
-            self.back[ep] = now
-        self._tell_again(ep)
-
-    def _tell_again(self, ep: int) -> None:
-        if ep in self.listed:
-            self.changed(ListForm.CHANGES, [self.entry(self.listed[ep])])
+        told = self.listed.get(backend_id)
+        if told is None or self.start_of(backend_id, told) <= since:
+            self.back[backend_id] = now
+        self._tell_again(backend_id)
+
+    def _tell_again(self, backend_id: int) -> None:
+        if backend_id in self.listed:
+            self.changed(ListForm.CHANGES, [self.entry(self.listed[backend_id])])
--- a/cedarledge/net/control.py
+++ b/cedarledge/net/control.py
@@ -13,7 +13,7 @@
 from cedarledge.net.evicting_listener import ACCEPTS_PER_TURN, EvictingListener
 from cedarledge.net.links import ConnectionContext, Link
 from cedarledge.net.service import ServiceState, UnknownBackendError
-from cedarledge.net.slots import Slots
+from cedarledge.net.slots import SlotTable
 from cedarledge.terms import MS
 
 if TYPE_CHECKING:
@@ -175,7 +175,7 @@
     spare_slots = ROOM
 
     def __init__(self, context: ConnectionContext, service: ServiceState, handover: Handover | None) -> None:
-        super().__init__(context._replace(links=Slots(MAX_CALLERS), pool=Pool(0, 0)))
+        super().__init__(context._replace(links=SlotTable(MAX_CALLERS), pool=Pool(0, 0)))
         self.service = service
         self.handover = handover  # to another process of this relay, where there can be one
 
@@ -184,7 +184,7 @@
         # After a pause of this process Twisted would take in 24 in its next turn, more than have a place: the
         # first of them would make room for the last before their calls were read.
         self.context.timers.after(0, setattr, self.port, "numberAccepts", ACCEPTS_PER_TURN)
-        return CallLink(self) if self.context.links.left else None
+        return CallLink(self) if self.context.links.free else None
 
     def carry_out(self, call: Call, answer: Callable[[Answer], None]) -> None:
         *start, last = call.path.split("/")
--- a/cedarledge/net/observers.py
+++ b/cedarledge/net/observers.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from cedarledge.net.seams import HEARD, Hearer
+from cedarledge.net.interfaces import OBSERVED_EVENTS, Observer
 from cedarledge.net.timers import Timers
 from cedarledge.terms import SECOND
 
@@ -21,7 +21,7 @@
 
     __slots__ = ("excluded", "faults", "missed", "observer", "spent")
 
-    def __init__(self, observer: Hearer) -> None:
+    def __init__(self, observer: Observer) -> None:
         self.observer = observer
         self.spent = self.faults = self.missed = 0
         self.excluded = False
@@ -47,10 +47,12 @@
         self.exclusion = exclusion
         self._registrations: list[_Registration] = []
         # Who has something to do for each thing that happens: the rest is not even called.
-        self._calls: dict[str, list[tuple[_Registration, Callable[..., None]]]] = {name: [] for name in HEARD}
+        self._calls: dict[str, list[tuple[_Registration, Callable[..., None]]]] = {
+            name: [] for name in OBSERVED_EVENTS
+        }
         self._span_ends = 0
 
-    def add(self, observer: Hearer) -> None:
+    def add(self, observer: Observer) -> None:
         self._registrations.append(_Registration(observer))
         self._bind_methods()
 
@@ -64,7 +66,7 @@
             calls[:] = [
                 (registration, getattr(registration.observer, name))
                 for registration in self._registrations
-                if getattr(type(registration.observer), name) is not getattr(Hearer, name)
+                if getattr(type(registration.observer), name) is not getattr(Observer, name)
             ]
 
     def notify(self, name: str, *args: Any) -> None:
--- a/cedarledge/net/service.py
+++ b/cedarledge/net/service.py
@@ -6,8 +6,8 @@
 
 from cedarledge.net.backends import Backends
 from cedarledge.net.boxlist import BoxList
-from cedarledge.net.module import Module
-from cedarledge.net.seams import Front
+from cedarledge.net.interfaces import Frontend
+from cedarledge.net.policy_host import RelayPolicyHost
 from cedarledge.net.timers import Timer, Timers
 from cedarledge.net.tunnels import Tunnels
 from cedarledge.terms import MS
@@ -27,18 +27,18 @@
     def __init__(
         self,
         timers: Timers,
-        module: Module,
+        policy_host: RelayPolicyHost,
         boxes: BoxList,
         tunnels: Tunnels,
         backends: Backends,
-        front: Front,
+        frontend: Frontend,
     ) -> None:
         self.timers = timers
-        self.module = module
+        self.policy_host = policy_host
         self.boxes = boxes
         self.tunnels = tunnels
         self.backends = backends
-        self.front = front
+        self.frontend = frontend
         self.listening = False  # the clients' listener
         self.stopping = self.replaced = False  # this process, by a newer one
         self.taking_over = False  # while the process before is still there
@@ -59,7 +59,7 @@
             return "a newer process serves"
         if not self.listening:
             return "the listener is not open yet"
-        if self.front.away and not self.taking_over:
+        if self.frontend.out_of_service and not self.taking_over:
             # A process that took over from one out of service is what that one's end waits for.
             return "out of service"
         if not self.boxes.heard and not self.boxes.ready:
@@ -67,34 +67,34 @@
         return ""
 
     def leave_service(self) -> None:
-        if self.front.away:
+        if self.frontend.out_of_service:
             return
-        self.front.away = True
+        self.frontend.out_of_service = True
         logger.info("out of service: {} tunnels are sent away", self.tunnels.table.used)
         if not self.stopping:
-            self.module.tell(self.module.balancer.drain_started, EMPTY_WITHIN)
-            self._sweep = self.timers.after_reading(ANSWER_ALL_AFTER, self.tunnels.end_all)
+            self.policy_host.call(self.policy_host.balancer.drain_started, EMPTY_WITHIN)
+            self._sweep = self.timers.after_reading(ANSWER_ALL_AFTER, self.tunnels.close_all)
 
     def return_to_service(self) -> None:
-        if not self.front.away:
+        if not self.frontend.out_of_service:
             return
-        self.front.away = False
+        self.frontend.out_of_service = False
         logger.info("in service again with {} tunnels", self.tunnels.table.used)
         if not self.stopping:
             self.timers.cancel(self._sweep)
-            self.module.tell(self.module.balancer.drain_cancelled)
+            self.policy_host.call(self.policy_host.balancer.drain_cancelled)
 
     def take_backend_offline(self, name: str) -> None:
-        ep = self._known(name)
+        backend_id = self._known(name)
         # The list's word first: whoever waits for a look at it is then placed elsewhere.
-        self.boxes.ban(ep, self.timers.now())
-        self.backends.no_probes(ep)
+        self.boxes.ban(backend_id, self.timers.now())
+        self.backends.no_probes(backend_id)
 
     def bring_backend_online(self, name: str) -> None:
         self.boxes.put_back(self._known(name), self.timers.now())
 
     def _known(self, name: str) -> int:
-        ep = self.boxes.known(name)
-        if ep is None:
+        backend_id = self.boxes.known(name)
+        if backend_id is None:
             raise UnknownBackendError(name)
-        return ep
+        return backend_id
--- a/cedarledge/net/tunnels.py
+++ b/cedarledge/net/tunnels.py
@@ -9,15 +9,15 @@
 
 from cedarledge.net.backends import Backends, SetupLink
 from cedarledge.net.boxlist import BoxList
-from cedarledge.net.clients import Opening
+from cedarledge.net.clients import OpenRequest
 from cedarledge.net.echoes import Echo, Echoes
-from cedarledge.net.lines import figure
+from cedarledge.net.interfaces import ClientConnection
+from cedarledge.net.lines import parse_finite
 from cedarledge.net.links import ConnectionContext
-from cedarledge.net.module import Module
 from cedarledge.net.observers import Observers
-from cedarledge.net.request_guard import RequestGuard, RequestLog
-from cedarledge.net.seams import ClientEnd
-from cedarledge.net.slots import FullError, Slots
+from cedarledge.net.policy_host import RelayPolicyHost
+from cedarledge.net.request_guard import RequestGuard, RequestRecord
+from cedarledge.net.slots import NoFreeSlotError, SlotTable
 from cedarledge.policy.estimators import DecayingSum
 from cedarledge.terms import MS, SECOND, LoadReport, Outcome, RequestClassSettings
 
@@ -40,35 +40,43 @@
     __slots__ = (
         "began",
         "client",
+        "closed",
         "echo",
-        "known",
-        "opening",
-        "over",
+        "is_open",
+        "known_to_policy",
+        "open_request",
         "profile",
         "request",
         "setup",
         "tenant",
-        "up",
     )
 
     def __init__(
-        self, client: ClientEnd, opening: Opening, profile: int, tenant: int | None, began: int
+        self,
+        client: ClientConnection,
+        open_request: OpenRequest,
+        profile: int,
+        tenant: int | None,
+        began: int,
     ) -> None:
         self.client = client
-        self.opening = opening
+        self.open_request = open_request
         self.profile = profile
         self.tenant = tenant
         self.began = began
-        self.request = RequestLog(opening.id, profile, began + opening.wait if opening.at is None else 0)
+        self.request = RequestRecord(
+            open_request.id,
+            profile,
+            began + open_request.client_timeout if open_request.previous_backend is None else 0,
+        )
         self.setup: SetupLink | None = None
         self.echo: Echo | None = None
-        self.known = False  # to the decision module
-        self.up = self.over = False
+        self.known_to_policy = False
+        self.is_open = self.closed = False
 
 
 class Tunnels:
-    """All tunnels of a relay, whatever front they came by: a seams.Taker for the clients' side, a
-    backends.Watcher for the other."""
+    """All tunnels of a relay, whatever front they came by."""
 
     backends: Backends
     echoes: Echoes
@@ -76,7 +84,7 @@
     def __init__(
         self,
         context: ConnectionContext,
-        module: Module,
+        policy_host: RelayPolicyHost,
         boxes: BoxList,
         observers: Observers,
         most: int,
@@ -87,26 +95,28 @@
         classes: Sequence[RequestClassSettings] = (),
     ) -> None:
         self.context = context
-        self.guard = RequestGuard(context.invariants, context.clock, classes, boxes.listed, boxes.eps.names)
+        self.guard = RequestGuard(
+            context.invariants, context.clock, classes, boxes.listed, boxes.backend_ids.names
+        )
         self.clock = context.clock
         self.timers = context.timers
-        self.module = module
+        self.policy_host = policy_host
         self.boxes = boxes
         self.observers = observers
-        self.table: Slots[Tunnel] = Slots(most)
+        self.table: SlotTable[Tunnel] = SlotTable(most)
         self.ids: set[str] = set()  # of all tunnels here, as their clients named them
-        self.ids_before: frozenset[str] = frozenset()  # at the process that this one takes over from
+        self.predecessor_ids: frozenset[str] = frozenset()  # at the process that this one takes over from
         self.profiles = profiles
         self.tenants = tenants
         self.waits = waits
         self.connect_within = connect_within
         self._counts: Counter[str] = Counter()
-        self.begun = False  # somebody has come who was not open before the run
+        self.saw_new_request = False  # somebody has come who was not open before the run
         # Clients that came back here less those that were sent away from here: more come than go while
         # another relay is down, and about as many where a backend is.
-        self.refugees = DecayingSum(LATELY)
+        self.net_returned_clients = DecayingSum(LATELY)
 
-    def join(self, backends: Backends, echoes: Echoes) -> None:
+    def connect(self, backends: Backends, echoes: Echoes) -> None:
         self.backends = backends
         self.echoes = echoes
 
@@ -116,213 +126,232 @@
 
     # -- what the module has done ------------------------------------------------------------------
 
-    def send(self, tun: int, ep: int, timeout: int) -> None:
-        if not self.guard.may_attempt(self.table.get(tun).request, ep, ep in self.boxes.ready):
-            self._not_sent(tun, ep)
+    def send(self, tunnel_id: int, backend_id: int, timeout: int) -> None:
+        if not self.guard.may_attempt(
+            self.table.get(tunnel_id).request, backend_id, backend_id in self.boxes.ready
+        ):
+            self._not_sent(tunnel_id, backend_id)
             return
-        self._set_up(tun, ep, timeout, self.connect_within)
-        self.observers.notify("set_up", tun, ep, timeout)
+        self._set_up(tunnel_id, backend_id, timeout, self.connect_within)
+        self.observers.notify("set_up", tunnel_id, backend_id, timeout)
 
-    def _not_sent(self, tun: int, ep: int) -> None:
+    def _not_sent(self, tunnel_id: int, backend_id: int) -> None:
         """Tells the module once it is through with what it does now."""
-        self.timers.after(0, self.setup_over, tun, ep, Outcome.NOT_SENT, 0, None, False)
+        self.timers.after(0, self.setup_over, tunnel_id, backend_id, Outcome.NOT_SENT, 0, None, False)
 
-    def _set_up(self, tun: int, ep: int, timeout: int, connect_within: int) -> None:
-        tunnel = self.table.get(tun)
-        self.guard.attempt(tunnel.request, ep)
+    def _set_up(self, tunnel_id: int, backend_id: int, timeout: int, connect_within: int) -> None:
+        tunnel = self.table.get(tunnel_id)
+        self.guard.record_attempt(tunnel.request, backend_id)
         try:
             tunnel.setup = self.backends.set_up(
-                tun, ep, self.boxes.addresses[ep], tunnel.opening.head, timeout, connect_within
+                tunnel_id,
+                backend_id,
+                self.boxes.addresses[backend_id],
+                tunnel.open_request.line_for_backend,
+                timeout,
+                connect_within,
             )
-        except FullError:
-            self._not_sent(tun, ep)
+        except NoFreeSlotError:
+            self._not_sent(tunnel_id, backend_id)
 
-    def decline(self, tun: int, come_back: int) -> None:
-        tunnel = self.table.get(tun)
+    def decline(self, tunnel_id: int, come_back: int) -> None:
+        tunnel = self.table.get(tunnel_id)
         if not self.guard.may_reject(tunnel.request):
-            self.close_with_error(tun)
+            self.close_with_error(tunnel_id)
             return
-        tunnel.client.decline(come_back)
-        self.context.rate_limited_log.about("rejected", lambda: self.guard.story(tunnel.request))
-        self._answered(tun, True)
-
-    def close_with_error(self, tun: int) -> None:
-        tunnel = self.table.get(tun)
-        tunnel.client.fail()
-        self.context.rate_limited_log.about("failed", lambda: self.guard.story(tunnel.request))
-        self._answered(tun, False)
-
-    def move(self, tun: int) -> None:
-        tunnel = self.table.get(tun)
-        if tunnel is None or tunnel.over or not tunnel.up:
+        tunnel.client.reject(come_back)
+        self.context.rate_limited_log.about("rejected", lambda: self.guard.describe(tunnel.request))
+        self._answered(tunnel_id, True)
+
+    def close_with_error(self, tunnel_id: int) -> None:
+        tunnel = self.table.get(tunnel_id)
+        tunnel.client.send_error()
+        self.context.rate_limited_log.about("failed", lambda: self.guard.describe(tunnel.request))
+        self._answered(tunnel_id, False)
+
+    def move(self, tunnel_id: int) -> None:
+        tunnel = self.table.get(tunnel_id)
+        if tunnel is None or tunnel.closed or not tunnel.is_open:
             return
         setup = tunnel.setup
-        logger.debug("tunnel {} is moved off {}", tun, self.boxes.eps.names[setup.ep])
-        self.refugees.add(self.clock(), -1)
+        logger.debug("tunnel {} is moved off {}", tunnel_id, self.boxes.backend_ids.names[setup.backend_id])
+        self.net_returned_clients.add(self.clock(), -1)
         self._counts["moved"] += 1
         self._part(tunnel)
         tunnel.request.attempt_ended(Outcome.CANCELLED)
-        tunnel.client.move()
+        tunnel.client.send_move()
         setup.call_off()
-        self.observers.notify("moved", tun, setup.ep)
+        self.observers.notify("moved", tunnel_id, setup.backend_id)
         # The module is in the midst of moving, so it hears of the end afterwards.
-        self.timers.after(0, self._moved, tun, setup.ep, self.clock() - setup.began)
+        self.timers.after(0, self._moved, tunnel_id, setup.backend_id, self.clock() - setup.began)
 
     # -- what the clients' side tells --------------------------------------------------------------
 
-    def arrived(self, client: ClientEnd, opening: Opening) -> int:
+    def request_arrived(self, client: ClientConnection, open_request: OpenRequest) -> int:
         try:
-            profile = self.profiles[opening.profile]
-            tenant = None if opening.tenant is None else self.tenants[opening.tenant]
+            profile = self.profiles[open_request.profile]
+            tenant = None if open_request.tenant is None else self.tenants[open_request.tenant]
         except KeyError as why:
             client.bad_input(f"nothing is called {why}")
             return -1
-        if opening.at is None and opening.wait > LONGER * self.waits[profile]:
-            client.bad_input(f"{opening.profile} does not wait for {opening.wait // MS} ms")
+        if (
+            open_request.previous_backend is None
+            and open_request.client_timeout > LONGER * self.waits[profile]
+        ):
+            client.bad_input(
+                f"{open_request.profile} does not wait for {open_request.client_timeout // MS} ms"
+            )
             return -1
-        if opening.id in self.ids or opening.id in self.ids_before:
+        if open_request.id in self.ids or open_request.id in self.predecessor_ids:
             # Two of one id would be told apart by nobody behind this relay, and the first is the one served.
-            client.bad_input(f"{opening.id[:40]} is open already")
+            client.bad_input(f"{open_request.id[:40]} is open already")
             return -1
-        tunnel = Tunnel(client, opening, profile, tenant, self.clock())
+        tunnel = Tunnel(client, open_request, profile, tenant, self.clock())
         try:
-            tun = self.table.take(tunnel)
-        except FullError:
+            tunnel_id = self.table.allocate(tunnel)
+        except NoFreeSlotError:
             self.context.rate_limited_log.about("client", "no slot is left for a tunnel")
-            client.decline(0)
+            client.reject(0)
             return -1
-        self.ids.add(opening.id)
+        self.ids.add(open_request.id)
         self._counts["taken"] += 1
-        self.observers.notify("arrived", tun, profile, opening.returning)
-        if opening.at is not None:
-            self._adopt(tun)
-            return tun
-        tunnel.known = self.begun = True
-        if opening.returning:
-            self.refugees.add(self.clock(), 1)
-        if not self.module.tell(
-            self.module.balancer.connection_requested,
-            tun,
+        self.observers.notify("arrived", tunnel_id, profile, open_request.returning)
+        if open_request.previous_backend is not None:
+            self._adopt(tunnel_id)
+            return tunnel_id
+        tunnel.known_to_policy = self.saw_new_request = True
+        if open_request.returning:
+            self.net_returned_clients.add(self.clock(), 1)
+        if not self.policy_host.call(
+            self.policy_host.balancer.connection_requested,
+            tunnel_id,
             profile,
             tenant,
-            opening.key,
-            opening.group,
-            max(MS, opening.wait - WAY_BACK),
-            opening.hint,
-            opening.returning,
+            open_request.key,
+            open_request.group,
+            max(MS, open_request.client_timeout - WAY_BACK),
+            open_request.load_hint,
+            open_request.returning,
         ):
-            self.abandon(tun)
-        return tun
+            self.fail_request(tunnel_id)
+        return tunnel_id
 
-    def lines_on(self, tun: int, lines: list[bytes]) -> None:
-        tunnel = self.table.get(tun)
-        if tunnel is None or tunnel.over:
+    def lines_from_client(self, tunnel_id: int, lines: list[bytes]) -> None:
+        tunnel = self.table.get(tunnel_id)
+        if tunnel is None or tunnel.closed:
             return
         tunnel.setup.send_lines(lines)
         tunnel.echo.asked()
 
-    def client_ended(self, tun: int, abrupt: bool) -> None:
-        tunnel = self.table.get(tun)
-        if tunnel is None or tunnel.over:
+    def client_closed(self, tunnel_id: int, abrupt: bool) -> None:
+        tunnel = self.table.get(tunnel_id)
+        if tunnel is None or tunnel.closed:
             return
-        setup, was_up = tunnel.setup, tunnel.up
+        setup, was_up = tunnel.setup, tunnel.is_open
         self._counts["left"] += 1
         self._part(tunnel)
-        if tunnel.known and not was_up:
-            self.module.tell(self.module.balancer.client_gone, tun)
+        if tunnel.known_to_policy and not was_up:
+            self.policy_host.call(self.policy_host.balancer.client_gone, tunnel_id)
         if setup is not None:
             setup.call_off(abrupt)
             outcome = Outcome.CANCELLED if setup.written else Outcome.NOT_SENT
             tunnel.request.attempt_ended(outcome)
-            if tunnel.known:
-                self.module.tell(
-                    self.module.balancer.attempt_ended,
-                    tun,
-                    setup.ep,
+            if tunnel.known_to_policy:
+                self.policy_host.call(
+                    self.policy_host.balancer.attempt_ended,
+                    tunnel_id,
+                    setup.backend_id,
                     True,
                     outcome,
                     self.clock() - setup.began,
                     None,
                 )
-        self._free(tun)
+        self._free(tunnel_id)
 
     # -- a connection that was open before ---------------------------------------------------------
 
-    def _adopt(self, tun: int) -> None:
+    def _adopt(self, tunnel_id: int) -> None:
         """Brings up a connection that was open before, at its own backend and no other."""
-        tunnel = self.table.get(tun)
-        if tunnel is None or tunnel.over:
+        tunnel = self.table.get(tunnel_id)
+        if tunnel is None or tunnel.closed:
             return
         age = self.clock() - tunnel.began
-        ep = self.boxes.eps.get(tunnel.opening.at)
-        if age >= ADOPT_WITHIN or ep in self.boxes.banned:
-            self.close_with_error(tun)
-        elif ep in self.boxes.addresses:
-            self._set_up(tun, ep, ADOPT_WITHIN - age, ADOPT_CONNECT_WITHIN)
+        backend_id = self.boxes.backend_ids.get(tunnel.open_request.previous_backend)
+        if age >= ADOPT_WITHIN or backend_id in self.boxes.banned:
+            self.close_with_error(tunnel_id)
+        elif backend_id in self.boxes.addresses:
+            self._set_up(tunnel_id, backend_id, ADOPT_WITHIN - age, ADOPT_CONNECT_WITHIN)
         elif self.boxes.heard or age > UNKNOWN_FOR:
             # Nobody has such a backend. It may only be new since this relay's list was made.
-            self.close_with_error(tun)
+            self.close_with_error(tunnel_id)
         else:
             if age < ADOPT_AGAIN:
                 # The first call may be put off, as all relays start together; who waits for it may not.
-                self.module.request_list()
-            self.timers.after(ADOPT_AGAIN, self._adopt, tun)
+                self.policy_host.watch()
+            self.timers.after(ADOPT_AGAIN, self._adopt, tunnel_id)
 
     # -- what the backends' side tells -------------------------------------------------------------
 
-    def may_send(self, tun: int, ep: int) -> bool:
+    def may_send(self, tunnel_id: int, backend_id: int) -> bool:
         """Nothing new goes to a backend that drains; what was open there before goes nowhere else, and there
         only if operators have not taken it out."""
-        tunnel = self.table.get(tun)
+        tunnel = self.table.get(tunnel_id)
         return (
             tunnel is not None
-            and ep not in self.boxes.banned
-            and (ep in self.boxes.ready or not tunnel.known)
+            and backend_id not in self.boxes.banned
+            and (backend_id in self.boxes.ready or not tunnel.known_to_policy)
         )
 
-    def client_waits(self, tun: int) -> int:
+    def client_waits(self, tunnel_id: int) -> int:
         """How long the client still waits for its answer, in ns; below 0: no longer."""
-        tunnel = self.table.get(tun)
-        return -1 if tunnel is None else tunnel.began + tunnel.opening.wait - WAY_BACK - self.clock()
+        tunnel = self.table.get(tunnel_id)
+        return (
+            -1
+            if tunnel is None
+            else tunnel.began + tunnel.open_request.client_timeout - WAY_BACK - self.clock()
+        )
 
-    def client_has_left(self, tun: int) -> bool:
-        tunnel = self.table.get(tun)
+    def client_has_left(self, tunnel_id: int) -> bool:
+        tunnel = self.table.get(tunnel_id)
         return tunnel is None or tunnel.client.peer_has_left()
 
-    def setup_up(self, tun: int, line: bytes, took: int) -> None:
-        tunnel = self.table.get(tun)
+    def setup_up(self, tunnel_id: int, line: bytes, took: int) -> None:
+        tunnel = self.table.get(tunnel_id)
         logger.debug(
-            "tunnel {} at {}: up after {} ms", tun, self.boxes.eps.names[tunnel.setup.ep], took // MS
+            "tunnel {} at {}: up after {} ms",
+            tunnel_id,
+            self.boxes.backend_ids.names[tunnel.setup.backend_id],
+            took // MS,
         )
-        tunnel.up = True
+        tunnel.is_open = True
         self._counts["opened"] += 1
-        self.guard.answered(tunnel.request, "UP")
+        self.guard.record_answer(tunnel.request, "UP")
         setup, client = tunnel.setup, tunnel.client
-        tunnel.echo = Echo(self.echoes, tun, setup.ep)
-        client.opened(line)
+        tunnel.echo = Echo(self.echoes, tunnel_id, setup.backend_id)
+        client.accept(line)
         # A side that reads slowly holds up the other one's reading, not this relay's memory.
         client.transport.registerProducer(setup.transport, True)
         setup.transport.registerProducer(client.transport, True)
-        if tunnel.known:
-            self.module.tell(self.module.balancer.connection_opened, tun, took)
+        if tunnel.known_to_policy:
+            self.policy_host.call(self.policy_host.balancer.connection_opened, tunnel_id, took)
         else:
-            opening = tunnel.opening
-            tunnel.known = True
-            self.module.tell(
-                self.module.balancer.connection_adopted,
-                tun,
+            open_request = tunnel.open_request
+            tunnel.known_to_policy = True
+            self.policy_host.call(
+                self.policy_host.balancer.connection_adopted,
+                tunnel_id,
                 tunnel.profile,
                 tunnel.tenant,
-                opening.key,
-                opening.group,
-                setup.ep,
-                opening.hint,
+                open_request.key,
+                open_request.group,
+                setup.backend_id,
+                open_request.load_hint,
             )
-        self.observers.notify("opened", tun, setup.ep, took)
+        self.observers.notify("opened", tunnel_id, setup.backend_id, took)
 
-    def lines_back(self, tun: int, lines: list[bytes]) -> None:
-        tunnel = self.table.get(tun)
-        if tunnel is None or tunnel.over:
+    def lines_back(self, tunnel_id: int, lines: list[bytes]) -> None:
+        tunnel = self.table.get(tunnel_id)
+        if tunnel is None or tunnel.closed:
             return
         tunnel.client.send_lines(lines)
         for line in lines:
@@ -330,114 +359,135 @@
                 tunnel.echo.answered()
                 continue
             try:
-                load = figure(line[5:].decode("ascii"))
+                load = parse_finite(line[5:].decode("ascii"))
             except ValueError:
                 self.context.rate_limited_log.about("backend", f"no load: {line[:80]!r}")
                 continue
-            self.module.tell(self.module.balancer.load_changed, tun, load)
+            self.policy_host.call(self.policy_host.balancer.load_changed, tunnel_id, load)
 
     def setup_over(
-        self, tun: int, ep: int, outcome: Outcome, took: int, report: LoadReport | None, abrupt: bool
+        self,
+        tunnel_id: int,
+        backend_id: int,
+        outcome: Outcome,
+        took: int,
+        report: LoadReport | None,
+        abrupt: bool,
     ) -> None:
-        tunnel = self.table.get(tun)
+        tunnel = self.table.get(tunnel_id)
         if tunnel is None:
             # No slot was found for it, and its client has left since. The module counts it still.
-            self.module.tell(self.module.balancer.attempt_ended, tun, ep, True, outcome, took, report)
+            self.policy_host.call(
+                self.policy_host.balancer.attempt_ended, tunnel_id, backend_id, True, outcome, took, report
+            )
             return
         logger.debug(
             "tunnel {} at {}: {} after {} ms, up {}",
-            tun,
-            self.boxes.eps.names[ep],
+            tunnel_id,
+            self.boxes.backend_ids.names[backend_id],
             outcome.name,
             took // MS,
-            tunnel.up,
+            tunnel.is_open,
         )
-        was_open = tunnel.up
+        was_open = tunnel.is_open
         tunnel.request.attempt_ended(outcome)
         self._part(tunnel, over=was_open)
-        self.observers.notify("setup_over", tun, ep, outcome, took, was_open)
+        self.observers.notify("setup_over", tunnel_id, backend_id, outcome, took, was_open)
         if was_open:
             if outcome is not Outcome.DONE:
-                self.refugees.add(self.clock(), -1)
+                self.net_returned_clients.add(self.clock(), -1)
             if abrupt and outcome is Outcome.RESET:
                 tunnel.client.abort()
             else:
                 tunnel.client.finish()
-        if not tunnel.known:
+        if not tunnel.known_to_policy:
             # Where others have come already the run has begun, which it does not while one of these waits:
             # only a stranger asks now, and is not to hold a slot and press a backend for as long.
-            if outcome in (Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.NOT_SENT) and not self.begun:
-                self.timers.after(ADOPT_AGAIN, self._adopt, tun)
+            if (
+                outcome in (Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.NOT_SENT)
+                and not self.saw_new_request
+            ):
+                self.timers.after(ADOPT_AGAIN, self._adopt, tunnel_id)
             else:
-                self.close_with_error(tun)
+                self.close_with_error(tunnel_id)
             return
-        if not self.module.tell(self.module.balancer.attempt_ended, tun, ep, was_open, outcome, took, report):
-            self.abandon(tun)
+        if not self.policy_host.call(
+            self.policy_host.balancer.attempt_ended, tunnel_id, backend_id, was_open, outcome, took, report
+        ):
+            self.fail_request(tunnel_id)
         if was_open:
-            self._free(tun)
+            self._free(tunnel_id)
 
-    def garbled(self, tun: int) -> None:
+    def garbled(self, tunnel_id: int) -> None:
         """Its backend's lines can't be passed on, so the client is better off elsewhere."""
-        self.move(tun)
+        self.move(tunnel_id)
 
-    def silent(self, tun: int) -> None:
-        tunnel = self.table.get(tun)
+    def silent(self, tunnel_id: int) -> None:
+        tunnel = self.table.get(tunnel_id)
         self._counts["silent"] += 1
-        logger.info("silent: {}", self.guard.story(tunnel.request))
-        self.module.tell(self.module.balancer.connection_unresponsive, tun)
+        logger.info("silent: {}", self.guard.describe(tunnel.request))
+        self.policy_host.call(self.policy_host.balancer.connection_unresponsive, tunnel_id)
 
     # -- the end of a tunnel -----------------------------------------------------------------------
 
-    def _moved(self, tun: int, ep: int, took: int) -> None:
-        self.module.tell(self.module.balancer.attempt_ended, tun, ep, True, Outcome.CANCELLED, took, None)
-        self._free(tun)
+    def _moved(self, tunnel_id: int, backend_id: int, took: int) -> None:
+        self.policy_host.call(
+            self.policy_host.balancer.attempt_ended,
+            tunnel_id,
+            backend_id,
+            True,
+            Outcome.CANCELLED,
+            took,
+            None,
+        )
+        self._free(tunnel_id)
 
     def _part(self, tunnel: Tunnel, over: bool = True) -> None:
         """The tunnel lets go of its setup, and with over of all else but its slot."""
         tunnel.setup = None
-        tunnel.over = tunnel.over or over
+        tunnel.closed = tunnel.closed or over
         if over and tunnel.echo is not None:
             tunnel.echo.close()
 
-    def _answered(self, tun: int, declined: bool) -> None:
+    def _answered(self, tunnel_id: int, declined: bool) -> None:
         """The final answer is out. The module gives it only when no setup is."""
-        tunnel = self.table.get(tun)
+        tunnel = self.table.get(tunnel_id)
         self._counts["rejected" if declined else "failed"] += 1
-        self.guard.answered(tunnel.request, "BUSY" if declined else "ERR")
+        self.guard.record_answer(tunnel.request, "BUSY" if declined else "ERR")
         self._part(tunnel)
-        self.observers.notify("answered", tun, declined, self.clock() - tunnel.began)
-        self._free(tun)
+        self.observers.notify("answered", tunnel_id, declined, self.clock() - tunnel.began)
+        self._free(tunnel_id)
 
-    def abandon(self, tun: int) -> None:
+    def fail_request(self, tunnel_id: int) -> None:
         """The module failed on this tunnel: its client still gets an answer."""
-        tunnel = self.table.get(tun)
-        if tunnel is not None and not tunnel.over:
-            self.guard.answered(tunnel.request, "ERR")
-            self.client_ended(tun, abrupt=False)
-            tunnel.client.fail()
+        tunnel = self.table.get(tunnel_id)
+        if tunnel is not None and not tunnel.closed:
+            self.guard.record_answer(tunnel.request, "ERR")
+            self.client_closed(tunnel_id, abrupt=False)
+            tunnel.client.send_error()
 
-    def answer_waiting(self) -> None:
+    def fail_waiting_requests(self) -> None:
         """The module failed, on which tunnels is not known: all that have no setup out, and wait for it
         alone."""
-        for tun in self.table.handles():
-            tunnel = self.table.get(tun)
+        for tunnel_id in self.table.handles():
+            tunnel = self.table.get(tunnel_id)
             # Each answer tells the module of its client's end, and it may fail on that too.
-            if tunnel is not None and tunnel.known and tunnel.setup is None:
-                self.abandon(tun)
+            if tunnel is not None and tunnel.known_to_policy and tunnel.setup is None:
+                self.fail_request(tunnel_id)
 
-    def end_all(self) -> None:
+    def close_all(self) -> None:
         """What is still held would be cut off, so it gets its answer or its MOVE."""
-        for tun in self.table.handles():
-            tunnel = self.table.get(tun)
+        for tunnel_id in self.table.handles():
+            tunnel = self.table.get(tunnel_id)
             # The module may fail on one of them, and then all that waited have been answered already.
-            if tunnel is not None and tunnel.up:
-                self.move(tun)
+            if tunnel is not None and tunnel.is_open:
+                self.move(tunnel_id)
             elif tunnel is not None:
-                self.abandon(tun)
+                self.fail_request(tunnel_id)
 
-    def _free(self, tun: int) -> None:
+    def _free(self, tunnel_id: int) -> None:
         """The one place where a tunnel's slot and its id are given back."""
-        tunnel = self.table.get(tun)
-        self.observers.notify("ended", tun, self.clock() - tunnel.began)
-        self.ids.remove(tunnel.opening.id)
-        self.table.give_back(tun)
+        tunnel = self.table.get(tunnel_id)
+        self.observers.notify("ended", tunnel_id, self.clock() - tunnel.began)
+        self.ids.remove(tunnel.open_request.id)
+        self.table.release(tunnel_id)
--- a/cedarledge/settings.py
+++ b/cedarledge/settings.py
@@ -89,8 +89,8 @@
     "overage_credit",
 )
 OBJECT_SETTINGS = ("allowed", "safety", "domain", "prices", "load_report")
-# The upper limit of every number. Larger integers would not be exact as floats, and no valid setting comes near
-# it: a day in microseconds is 9e10.
+# The upper limit of every number. Larger integers would not be exact as floats, and no valid setting comes
+# near it: a day in microseconds is 9e10.
 MAX_NUMBER = 1e15
 LIST_SETTINGS = (
     "profiles",
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -7,16 +7,16 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from helpers import MS, SECOND, Backend, Program, facts, until
+from helpers import MS, SECOND, Backend, RelayProgram, make_settings, wait_until
 from pytest import fixture, mark
 from twisted.internet.task import Clock
 
 from cedarledge.net.invariants import Invariant, Invariants
-from cedarledge.net.request_guard import GRACE, RequestGuard, RequestLog
+from cedarledge.net.request_guard import TIME_LIMIT_GRACE, RequestGuard, RequestRecord
 from cedarledge.net.timers import Timers
 from cedarledge.terms import Outcome
 
-# Places of the classes that `helpers.facts` has.
+# Places of the classes that `helpers.make_settings` has.
 IDEMPOTENT, DEDUP_ALL, DEDUP_ZONE, DEDUP_CELL, NON_IDEMPOTENT = range(5)
 NAMES = ["a", "b", "c"]
 # b shares the zone of a and not its cell; c shares nothing with it.
@@ -33,14 +33,14 @@
     def __init__(self) -> None:
         self.now = 1000 * SECOND
         self.invariants = Invariants()
-        self.guard = RequestGuard(self.invariants, lambda: self.now, facts().profiles, LISTED, NAMES)
+        self.guard = RequestGuard(self.invariants, lambda: self.now, make_settings().profiles, LISTED, NAMES)
 
-    def request(self, request_class: int = IDEMPOTENT) -> RequestLog:
-        return RequestLog("id", request_class, self.now + 3 * SECOND)
+    def request(self, request_class: int = IDEMPOTENT) -> RequestRecord:
+        return RequestRecord("id", request_class, self.now + 3 * SECOND)
 
-    def attempted(self, request: RequestLog, outcome: Outcome | None, backend: int = 0) -> RequestLog:
+    def attempted(self, request: RequestRecord, outcome: Outcome | None, backend: int = 0) -> RequestRecord:
         assert self.guard.may_attempt(request, backend, is_ready=True)
-        self.guard.attempt(request, backend)
+        self.guard.record_attempt(request, backend)
         if outcome is not None:
             request.attempt_ended(outcome)
         return request
@@ -64,9 +64,9 @@
 @mark.parametrize("word", ["UP", "BUSY", "ERR"])
 def test_nothing_goes_out_after_the_answer(scene: Scene, word: str) -> None:
     request = scene.request()
-    scene.guard.answered(request, word)
+    scene.guard.record_answer(request, word)
     assert not scene.guard.may_attempt(request, 1, is_ready=True)
-    scene.guard.answered(request, "ERR")
+    scene.guard.record_answer(request, "ERR")
     assert scene.seen == {Invariant.ATTEMPT_AFTER_ANSWER: 1, Invariant.SECOND_ANSWER: 1}
 
 
@@ -77,13 +77,13 @@
 
 def test_time_limits_have_the_platforms_grace_and_no_more(scene: Scene) -> None:
     request = scene.request()
-    scene.now = request.deadline + GRACE
-    scene.guard.answered(request, "ERR")
+    scene.now = request.deadline + TIME_LIMIT_GRACE
+    scene.guard.record_answer(request, "ERR")
     assert not scene.seen
     late = scene.request()
-    scene.now = late.deadline + GRACE + MS
+    scene.now = late.deadline + TIME_LIMIT_GRACE + MS
     assert not scene.guard.may_attempt(late, 1, is_ready=True)
-    scene.guard.answered(late, "ERR")
+    scene.guard.record_answer(late, "ERR")
     assert scene.seen == {Invariant.ATTEMPT_PAST_DEADLINE: 1, Invariant.LATE_ANSWER: 1}
 
 
@@ -105,8 +105,8 @@
     allowed = {backend for backend in LISTED if scene.guard.may_attempt(request, backend, is_ready=True)}
     assert allowed == may_go_to
     assert scene.guard.may_reject(request) == may_reject
-    window = facts().profiles[request_class].window
-    scene.now = request.attempts[0].began + window + GRACE
+    window = make_settings().profiles[request_class].window
+    scene.now = request.attempts[0].began + window + TIME_LIMIT_GRACE
     later = {backend for backend in LISTED if scene.guard.may_attempt(request, backend, is_ready=True)}
     assert later == (may_go_to if request_class == IDEMPOTENT else set())
 
@@ -138,15 +138,15 @@
 
 
 def test_a_relay_that_was_paused_counts_no_stuck_deadlines(tmp_path: Path) -> None:
-    with Program(tmp_path, [Backend("a")]) as relay:
+    with RelayProgram(tmp_path, [Backend("a")]) as relay:
         client = relay.client()
         assert client.open() == "UP r"
         relay.pause()
         client.link.sendall(b"M 1\r\n")
         time.sleep(2.5)
-        relay.go_on()
-        assert client.hear() == "M 1"
-        relay.ask_to_stop()
+        relay.resume()
+        assert client.read_line() == "M 1"
+        relay.terminate()
         assert relay.process.wait(8) == 0
         assert "no invariant broken" in relay.log.read_text()
 
@@ -154,14 +154,14 @@
 def test_the_log_says_what_became_of_each_request(tmp_path: Path) -> None:
     """Ids, attempts and how they ended, why it was closed; and the counts at the end."""
     backends = [Backend("a", "ERR")]
-    with Program(tmp_path, backends) as relay:
+    with RelayProgram(tmp_path, backends) as relay:
         failed, silent = relay.client(), relay.client()
         assert failed.open(names="c=bill,d=1500") == "ERR"
         backends[0].modes = ["UP r"]
-        until(lambda: silent.open() == "UP r")
+        wait_until(lambda: silent.open() == "UP r")
         backends[0].deaf = True
         silent.link.sendall(b"M 1\r\n")
-        assert silent.hear() == "MOVE"
+        assert silent.read_line() == "MOVE"
         relay.process.send_signal(signal.SIGTERM)
         assert relay.process.wait(8) == 0
         log = relay.log.read_text()
