--- a/cedarledge/net/tunnels.py
+++ b/cedarledge/net/tunnels.py
@@ -287,7 +287,7 @@
         else:
             if age < ADOPT_AGAIN:
                 # The first call may be put off, as all relays start together; who waits for it may not.
-                self.policy_host.watch()
+                self.policy_host.request_list()
             self.timers.after(ADOPT_AGAIN, self._adopt, tunnel_id)
 
     # -- what the backends' side tells -------------------------------------------------------------
