--- a/cedarledge/net/boxlist.py
+++ b/cedarledge/net/boxlist.py
@@ -104,7 +104,7 @@
     def set_aside(self, names: Collection[str]) -> None:
         """What the operator wants nothing new sent to. A box that is not on the list yet is known by its
         name."""
-        self.policy_host.update_external_view(aside=frozenset(self.backend_ids[name] for name in names))
+        self.policy_host.update_external_view(excluded=frozenset(self.backend_ids[name] for name in names))
 
     # -- what operators call -----------------------------------------------------------------------
 
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -35,8 +35,8 @@
             clock=lambda: host.now,
             call=call,
             balancer=host.balancer,
-            update_external_view=lambda aside: host.balancer.external_view_changed(
-                host.now, ExternalView(excluded=aside)
+            update_external_view=lambda excluded: host.balancer.external_view_changed(
+                host.now, ExternalView(excluded=excluded)
             ),
         )
         self.boxes = BoxList(policy_host, SimpleNamespace(notify=lambda *_: None), {"dcs": ["z"]})
