--- a/cedarledge/__main__.py
+++ b/cedarledge/__main__.py
@@ -42,9 +42,9 @@
 
 def _joins(relay: Relay, orders: StartingOrders, wanted: OperatorFile) -> None:
     if wanted.things_on():
-        from cedarledge.fleet import join
+        from cedarledge.fleet import start_features
 
-        join(relay, orders, wanted)
+        start_features(relay, orders, wanted)
 
 
 def start(operator_file: str | None = None) -> int:
--- a/cedarledge/cli.py
+++ b/cedarledge/cli.py
@@ -22,7 +22,7 @@
 from cedarledge import __version__
 from cedarledge.model.command import model, seeds_of
 from cedarledge.operator.tables import BadFileError
-from cedarledge.peers.staff import peers
+from cedarledge.peers.command import peers
 from cedarledge.rig.variants import BASELINES
 from cedarledge.scale.command import scale
 from cedarledge.standins.plan import MOST_BOXES, MOST_RELAYS
--- a/cedarledge/failover/plans.py
+++ b/cedarledge/failover/plans.py
@@ -21,16 +21,21 @@
 # Of what a zone can do this is left for what comes unforeseen.
 HEADROOM = 0.2
 # A sight older than this says nothing.
-FRESH = 4 * SECOND
+MAX_OBSERVATION_AGE = 4 * SECOND
 # Of setups there, from which on a zone counts as failing; and its load from which on it is no help to others.
-FAILING, SLOW = 0.5, 1.1
+FAILURE_THRESHOLD, OVERLOAD_THRESHOLD = 0.5, 1.1
 # What is seen must last this long before a plan follows; the shortest life of a plan; a change below this is
 # none.
-LASTS, SETTLES, LEAST = 800 * MS, 1500 * MS, 5
+EVIDENCE_HOLD_TIME, MIN_PLAN_AGE, MIN_SHARE_CHANGE = 800 * MS, 1500 * MS, 5
 # Back in steps of so many hundredths of a zone's traffic. A zone that comes and goes stays away for twice as
 # long each time, up to a bound; once it has been open for so long that is forgotten.
-STEP_BACK, AWAY, LONGEST_AWAY, FORGIVEN = 20, 6 * SECOND, 96 * SECOND, 120 * SECOND
-WHOLE = 100
+RETURN_STEP, RETURN_DELAY, MAX_RETURN_DELAY, WITHDRAWALS_RESET_AFTER = (
+    20,
+    6 * SECOND,
+    96 * SECOND,
+    120 * SECOND,
+)
+FULL_SHARE = 100
 
 
 class State(IntEnum):
@@ -40,37 +45,37 @@
     RETURNING = 3  # takes its traffic back in steps
 
 
-class Sight(NamedTuple):
+class ZoneObservation(NamedTuple):
     """What one relay sees of one zone."""
 
     ready: int  # boxes that the list and its own setups hold to be there
     load: float  # mean of their reports
-    failing: float  # of its setups there, lately
-    held: int  # its own open tunnels there
+    failure_rate: float  # of its setups there, lately
+    open_connections: int  # its own open tunnels there
     age: int
 
 
-class Teller(NamedTuple):
+class RelayReport(NamedTuple):
     """One relay that is alive, as the peers tell."""
 
     zone: str
-    tunnels: int
-    sights: Mapping[str, Sight]
+    connections: int
+    observations: Mapping[str, ZoneObservation]
 
 
 class ZonePlan(msgspec.Struct, array_like=True, frozen=True):
     zone: str
     state: State
     shares: list[int]  # of this zone's traffic, by the places of the plan's zones; hundredths
-    refused: int  # the rest, to make a whole
-    away: int  # how often it went lately
+    rejected: int  # the rest, to make a whole
+    withdrawals: int  # how often it went lately
 
 
 class Plan(msgspec.Struct, array_like=True, frozen=True):
     """Zones in the order of their names; why says in a sentence with figures what it came from."""
 
     zones: list[ZonePlan]
-    why: str
+    reason: str
 
     def state(self, zone: str) -> State:
         return next(row.state for row in self.zones if row.zone == zone)
@@ -80,32 +85,35 @@
         return self.zones[names.index(source)].shares[names.index(target)]
 
 
-class Seen(NamedTuple):
+class ZoneSummary(NamedTuple):
     """What all together see of one zone."""
 
     ready: float
     load: float
     unreachable: bool  # from every other zone that looks
-    fails_itself: bool  # its own relays say so
-    speaks: bool  # its own relays are heard
-    heard: bool  # somebody has a fresh sight of it
+    fails_locally: bool  # its own relays say so
+    reports: bool  # its own relays are heard
+    observed: bool  # somebody has a fresh sight of it
 
 
-def seen_of(zone: str, tellers: Sequence[Teller]) -> Seen:
+def summarize_zone(zone: str, reports: Sequence[RelayReport]) -> ZoneSummary:
     """By medians of each zone's relays, so that no single relay's word decides where a zone has three."""
-    by_zone: dict[str, list[Sight]] = {}
-    for teller in tellers:
-        sight = teller.sights.get(zone)
-        if sight is not None and sight.age <= FRESH:
-            by_zone.setdefault(teller.zone, []).append(sight)
-    failing = {name: median(sight.failing for sight in rows) >= FAILING for name, rows in by_zone.items()}
-    good = [sight for name, rows in by_zone.items() if not failing[name] for sight in rows]
+    by_zone: dict[str, list[ZoneObservation]] = {}
+    for report in reports:
+        observation = report.observations.get(zone)
+        if observation is not None and observation.age <= MAX_OBSERVATION_AGE:
+            by_zone.setdefault(report.zone, []).append(observation)
+    failing = {
+        name: median(observation.failure_rate for observation in rows) >= FAILURE_THRESHOLD
+        for name, rows in by_zone.items()
+    }
+    good = [observation for name, rows in by_zone.items() if not failing[name] for observation in rows]
     others = [fails for name, fails in failing.items() if name != zone]
     # One relay alone of all others is one word.
     alone = sum(len(rows) for name, rows in by_zone.items() if name != zone) < 2
-    return Seen(
-        median(sight.ready for sight in good) if good else 0.0,
-        median(sight.load for sight in good) if good else 0.0,
+    return ZoneSummary(
+        median(observation.ready for observation in good) if good else 0.0,
+        median(observation.load for observation in good) if good else 0.0,
         bool(others) and all(others) and not alone,
         failing.get(zone, False),
         zone in failing,
@@ -113,7 +121,7 @@
     )
 
 
-def spread(
+def assign_traffic(
     demand: Mapping[str, float],
     room: Mapping[str, float],
     own: Mapping[str, float],
@@ -154,72 +162,73 @@
         """`regions` by zone; all zones there are. `pinned`: what staff have said."""
         self.regions = dict(sorted(regions.items()))
         self.pinned = dict(pinned or {})
-        self.plan = self.first()
-        self.held_at = 0
-        self._since: dict[str, tuple[str, int]] = {}  # what is seen of a zone, and since when
+        self.plan = self.initial_plan()
+        self.adopted_at = 0
+        self._evidence_since: dict[str, tuple[str, int]] = {}  # what is seen of a zone, and since when
         self._state_since = dict.fromkeys(self.regions, 0)
-        self._each = 0.0  # what one tunnel asks of a box that does what it should
+        self._load_per_connection = 0.0  # what one tunnel asks of a box that does what it should
 
-    def first(self) -> Plan:
+    def initial_plan(self) -> Plan:
         """Everybody keeps to the own zone: what holds where nothing was decided."""
         names = list(self.regions)
         rows = [
-            ZonePlan(zone, State.OPEN, [WHOLE * (other == zone) for other in names], 0, 0) for zone in names
+            ZonePlan(zone, State.OPEN, [FULL_SHARE * (other == zone) for other in names], 0, 0)
+            for zone in names
         ]
         return Plan(rows, "nothing was decided yet")
 
-    def holds(self, now: int, plan: Plan) -> None:
+    def adopt(self, now: int, plan: Plan) -> None:
         """This plan has a number now. One about other zones is of an older file, and is not followed."""
         if [row.zone for row in plan.zones] == list(self.regions):
             for row in plan.zones:
                 if row.state is not self.plan.state(row.zone):
                     self._state_since[row.zone] = now
-            self.plan, self.held_at = plan, now
+            self.plan, self.adopted_at = plan, now
 
-    def look(self, now: int, tellers: Sequence[Teller]) -> Plan | None:
+    def propose_change(self, now: int, reports: Sequence[RelayReport]) -> Plan | None:
         """What it would have instead of the plan that holds; None: nothing."""
-        seen = {zone: seen_of(zone, tellers) for zone in self.regions}
+        seen = {zone: summarize_zone(zone, reports) for zone in self.regions}
         # One who hears nothing of half of the zones is more likely cut off than they are gone.
-        speak = {teller.zone for teller in tellers} & self.regions.keys()
-        if now - self.held_at < SETTLES or 2 * len(speak) <= len(self.regions):
+        speak = {report.zone for report in reports} & self.regions.keys()
+        if now - self.adopted_at < MIN_PLAN_AGE or 2 * len(speak) <= len(self.regions):
             return None
-        states = {row.zone: self._state(row, seen[row.zone], now) for row in self.plan.zones}
+        states = {row.zone: self._next_state(row, seen[row.zone], now) for row in self.plan.zones}
         if all(state is State.CLOSED for state in states.values()):
             # Who sees all gone is more likely gone itself.
             return None
-        away = {row.zone: self._away(row, states[row.zone], now) for row in self.plan.zones}
-        shares, refused = self._shares(states, seen, tellers)
+        away = {row.zone: self._next_withdrawals(row, states[row.zone], now) for row in self.plan.zones}
+        shares, refused = self._shares(states, seen, reports)
         plan = Plan(
             [ZonePlan(zone, states[zone], shares[zone], refused[zone], away[zone]) for zone in self.regions],
-            self._why(states, seen),
+            self._describe(states, seen),
         )
         return plan if self._differs(plan) else None
 
     # -- states ------------------------------------------------------------------------------------
 
-    def _evidence(self, zone: str, seen: Seen, now: int) -> tuple[str, int]:
+    def _evidence(self, zone: str, seen: ZoneSummary, now: int) -> tuple[str, int]:
         """What is seen of it, and for how long that has been so."""
-        if not seen.heard:
+        if not seen.observed:
             what = "unheard"
-        elif seen.unreachable and seen.fails_itself:
+        elif seen.unreachable and seen.fails_locally:
             what = "gone"
-        elif seen.unreachable or seen.fails_itself:
+        elif seen.unreachable or seen.fails_locally:
             # Its own relays see it serve, or others do; or nobody hears them, and it may live behind a cut.
             what = "cut"
-        elif seen.load > SLOW:
+        elif seen.load > OVERLOAD_THRESHOLD:
             what = "slow"
         else:
             what = "well"
-        before = self._since.get(zone)
+        before = self._evidence_since.get(zone)
         if before is None or before[0] != what:
-            self._since[zone] = what, now
-        return what, now - self._since[zone][1]
+            self._evidence_since[zone] = what, now
+        return what, now - self._evidence_since[zone][1]
 
-    def _state(self, row: ZonePlan, seen: Seen, now: int) -> State:
+    def _next_state(self, row: ZonePlan, seen: ZoneSummary, now: int) -> State:
         if row.zone in self.pinned:
             return self.pinned[row.zone]
         what, lasted = self._evidence(row.zone, seen, now)
-        if what == "unheard" or lasted < LASTS:
+        if what == "unheard" or lasted < EVIDENCE_HOLD_TIME:
             return row.state
         if what == "gone":
             return State.CLOSED
@@ -227,35 +236,39 @@
             # One that is closed and answers a little is no further yet.
             return row.state if row.state is State.CLOSED else State.LIMITED
         if row.state in (State.CLOSED, State.LIMITED):
-            wait = min(LONGEST_AWAY, AWAY << max(0, row.away - 1))
+            wait = min(MAX_RETURN_DELAY, RETURN_DELAY << max(0, row.withdrawals - 1))
             # Another voter may see what this one does not: its plan stands for as long all the same.
             since = min(lasted, now - self._state_since[row.zone])
             return State.RETURNING if since >= wait else row.state
-        if row.state is State.RETURNING and self._is_back(row.zone):
+        if row.state is State.RETURNING and self._has_own_traffic(row.zone):
             return State.OPEN
         return row.state
 
-    def _is_back(self, zone: str) -> bool:
+    def _has_own_traffic(self, zone: str) -> bool:
         """Its own traffic is there again."""
         row = next(row for row in self.plan.zones if row.zone == zone)
-        elsewhere = WHOLE - row.shares[list(self.regions).index(zone)] - row.refused
-        return elsewhere < LEAST
+        elsewhere = FULL_SHARE - row.shares[list(self.regions).index(zone)] - row.rejected
+        return elsewhere < MIN_SHARE_CHANGE
 
-    def _away(self, row: ZonePlan, state: State, now: int) -> int:
+    def _next_withdrawals(self, row: ZonePlan, state: State, now: int) -> int:
         bad = (State.CLOSED, State.LIMITED)
         if state in bad and row.state not in bad:
-            return min(row.away + 1, 16)
-        if state is State.OPEN and row.state is State.OPEN and now - self._state_since[row.zone] >= FORGIVEN:
+            return min(row.withdrawals + 1, 16)
+        if (
+            state is State.OPEN
+            and row.state is State.OPEN
+            and now - self._state_since[row.zone] >= WITHDRAWALS_RESET_AFTER
+        ):
             return 0
-        return row.away
+        return row.withdrawals
 
-    def agrees(self, now: int, plan: Plan, tellers: Sequence[Teller]) -> bool:
+    def approves(self, now: int, plan: Plan, reports: Sequence[RelayReport]) -> bool:
         """Whether what it sees itself speaks against no change of state that this plan makes."""
         if [row.zone for row in plan.zones] != list(self.regions):
             return False
         bad = (State.CLOSED, State.LIMITED)
         for row in plan.zones:
-            what, _ = self._evidence(row.zone, seen_of(row.zone, tellers), now)
+            what, _ = self._evidence(row.zone, summarize_zone(row.zone, reports), now)
             was_bad, is_bad = self.plan.state(row.zone) in bad, row.state in bad
             if row.zone not in self.pinned and was_bad != is_bad and is_bad == (what == "well"):
                 return False
@@ -264,58 +277,68 @@
     # -- shares ------------------------------------------------------------------------------------
 
     def _shares(
-        self, states: Mapping[str, State], seen: Mapping[str, Seen], tellers: Sequence[Teller]
+        self, states: Mapping[str, State], seen: Mapping[str, ZoneSummary], reports: Sequence[RelayReport]
     ) -> tuple[dict[str, list[int]], dict[str, int]]:
         names = list(self.regions)
-        demand, able = self._sizes(seen, tellers)
+        demand, capacity = self._demand_and_capacity(seen, reports)
         room, own = {}, {}
         for row in self.plan.zones:
             zone = row.zone
-            cap = able[zone] * (1 - HEADROOM)
-            as_now = demand[zone] * self._mine(row) / WHOLE
+            cap = capacity[zone] * (1 - HEADROOM)
+            as_now = demand[zone] * self._own_share(row) / FULL_SHARE
             if states[zone] is State.CLOSED:
                 own[zone] = 0.0
-            elif states[zone] is State.LIMITED and self._since[zone][0] == "cut":
+            elif states[zone] is State.LIMITED and self._evidence_since[zone][0] == "cut":
                 # Its own relays alone know how it does.
                 own[zone] = as_now
             elif states[zone] is State.RETURNING:
-                step = demand[zone] * STEP_BACK / WHOLE if self._shown(row, tellers) else 0.0
+                step = (
+                    demand[zone] * RETURN_STEP / FULL_SHARE
+                    if self._last_step_is_visible(row, reports)
+                    else 0.0
+                )
                 own[zone] = min(cap, as_now + step)
             else:
                 own[zone] = cap
             room[zone] = cap if states[zone] is State.OPEN else min(own[zone], demand[zone])
-        carried, _ = spread(demand, room, own, self.regions)
+        carried, _ = assign_traffic(demand, room, own, self.regions)
         shares, refused = {}, {}
         for zone in names:
             if demand[zone] > 0:
-                parts = [int(WHOLE * carried[zone].get(other, 0.0) / demand[zone] + 1e-9) for other in names]
+                parts = [
+                    int(FULL_SHARE * carried[zone].get(other, 0.0) / demand[zone] + 1e-9) for other in names
+                ]
             else:
                 # Nobody asks: what comes first stays, or goes where any may go.
-                open_to = zone if states[zone] is not State.CLOSED else self._anywhere(states)
-                parts = [WHOLE * (other == open_to) for other in names]
-            shares[zone], refused[zone] = parts, WHOLE - sum(parts)
+                open_to = zone if states[zone] is not State.CLOSED else self._any_open_zone(states)
+                parts = [FULL_SHARE * (other == open_to) for other in names]
+            shares[zone], refused[zone] = parts, FULL_SHARE - sum(parts)
         return shares, refused
 
-    def _shown(self, row: ZonePlan, tellers: Sequence[Teller]) -> bool:
+    def _last_step_is_visible(self, row: ZonePlan, reports: Sequence[RelayReport]) -> bool:
         """The last step of a zone's return is seen in where its tunnels are."""
-        mine = [teller for teller in tellers if teller.zone == row.zone]
-        held = sum(teller.tunnels for teller in mine)
-        there = sum(teller.sights[row.zone].held for teller in mine if row.zone in teller.sights)
-        return held == 0 or WHOLE * there >= held * (self._mine(row) - 2 * LEAST)
+        mine = [report for report in reports if report.zone == row.zone]
+        held = sum(report.connections for report in mine)
+        there = sum(
+            report.observations[row.zone].open_connections
+            for report in mine
+            if row.zone in report.observations
+        )
+        return held == 0 or FULL_SHARE * there >= held * (self._own_share(row) - 2 * MIN_SHARE_CHANGE)
 
-    def _sizes(
-        self, seen: Mapping[str, Seen], tellers: Sequence[Teller]
+    def _demand_and_capacity(
+        self, seen: Mapping[str, ZoneSummary], reports: Sequence[RelayReport]
     ) -> tuple[dict[str, float], dict[str, float]]:
         """What each zone's clients ask, and what each zone can do, in boxes that do what they should. A zone
         whose load is higher than its tunnels account for can do less than its boxes' number says."""
         tunnels = dict.fromkeys(self.regions, 0)
         carries = dict.fromkeys(self.regions, 0)
-        for teller in tellers:
-            if teller.zone in tunnels:
-                tunnels[teller.zone] += teller.tunnels
-            for zone, sight in teller.sights.items():
-                if zone in carries and sight.age <= FRESH:
-                    carries[zone] += sight.held
+        for report in reports:
+            if report.zone in tunnels:
+                tunnels[report.zone] += report.connections
+            for zone, observation in report.observations.items():
+                if zone in carries and observation.age <= MAX_OBSERVATION_AGE:
+                    carries[zone] += observation.open_connections
         # By the zones where a tunnel weighs least: the others are slow, or their reports are old.
         weighs = sorted(
             one.load * one.ready / carries[zone]
@@ -323,26 +346,26 @@
             if carries[zone] >= 10 and one.ready and one.load > 0.05
         )
         if weighs:
-            self._each = weighs[(len(weighs) - 1) // 2]
-        able = {}
+            self._load_per_connection = weighs[(len(weighs) - 1) // 2]
+        capacity = {}
         for zone, one in seen.items():
             # A little under its number is the noise of reports. Of a zone whose relays are not heard, who
             # carries what is not known.
-            known = one.speaks and one.load > 0.05 and carries[zone] >= 10
-            by_load = carries[zone] * self._each / one.load if known else one.ready
-            able[zone] = one.ready if by_load > 0.75 * one.ready else by_load
+            known = one.reports and one.load > 0.05 and carries[zone] >= 10
+            by_load = carries[zone] * self._load_per_connection / one.load if known else one.ready
+            capacity[zone] = one.ready if by_load > 0.75 * one.ready else by_load
         demand = {}
         for zone, one in seen.items():
             # Relays that nobody hears may serve behind a cut: what boxes there carry beside the others' is
             # theirs.
-            theirs = 0.0 if one.speaks else one.load * one.ready - carries[zone] * self._each
-            demand[zone] = max(theirs, tunnels[zone] * self._each)
-        return demand, able
+            theirs = 0.0 if one.reports else one.load * one.ready - carries[zone] * self._load_per_connection
+            demand[zone] = max(theirs, tunnels[zone] * self._load_per_connection)
+        return demand, capacity
 
-    def _mine(self, row: ZonePlan) -> int:
+    def _own_share(self, row: ZonePlan) -> int:
         return row.shares[list(self.regions).index(row.zone)]
 
-    def _anywhere(self, states: Mapping[str, State]) -> str:
+    def _any_open_zone(self, states: Mapping[str, State]) -> str:
         return next((zone for zone in self.regions if states[zone] is State.OPEN), "")
 
     def _differs(self, plan: Plan) -> bool:
@@ -350,14 +373,17 @@
             if old.state is not new.state:
                 return True
             moved = [abs(one - other) for one, other in zip(old.shares, new.shares, strict=True)]
-            if max(moved, default=0) >= LEAST or abs(old.refused - new.refused) >= LEAST:
+            if (
+                max(moved, default=0) >= MIN_SHARE_CHANGE
+                or abs(old.rejected - new.rejected) >= MIN_SHARE_CHANGE
+            ):
                 return True
         return False
 
-    def _why(self, states: Mapping[str, State], seen: Mapping[str, Seen]) -> str:
+    def _describe(self, states: Mapping[str, State], seen: Mapping[str, ZoneSummary]) -> str:
         told = []
         for zone, state in states.items():
-            what = self._since.get(zone, ("pinned", 0))[0]
+            what = self._evidence_since.get(zone, ("pinned", 0))[0]
             if state is not State.OPEN or what != "well":
                 told.append(
                     f"{zone} {state.name.lower()}: {what}, {seen[zone].ready:.0f} ready at "
@@ -366,7 +392,7 @@
         return ("; ".join(told) or "all zones are well")[:160]
 
 
-def followed(plan: Plan, zone: str, fresh: Collection[str]) -> dict[str, float]:
+def routing_weights(plan: Plan, zone: str, fresh: Collection[str]) -> dict[str, float]:
     """What a relay in `zone` makes of a plan: a part for each other zone and its own, by which it weighs
     that zone's cells. `fresh`: zones that it sees fail itself, which goes before any plan. Empty: no plan is
     followed."""
--- a/cedarledge/failover/votes.py
+++ b/cedarledge/failover/votes.py
@@ -27,18 +27,18 @@
 from cedarledge.terms import MS, SECOND
 
 FORMAT = 1
-LARGEST_VALUE = 520  # two of them go into one datagram
+MAX_VALUE_BYTES = 520  # two of them go into one datagram
 Ballot = tuple[int, int]  # a round, and the place of the voter who began it; the higher goes first
-NONE: Ballot = (0, -1)
+NO_BALLOT: Ballot = (0, -1)
 # A proposer that hears nothing begins again after this, and waits up to twice as long each time. Two that
 # outbid each other draw their waits, so that one of them is left alone for long enough.
-ANSWERS_WITHIN, BACK_OFF, LONGEST = 400 * MS, 100 * MS, 3 * SECOND
-ASK_AGAIN = 500 * MS
+ROUND_TIMEOUT, BACKOFF_BASE, MAX_BACKOFF = 400 * MS, 100 * MS, 3 * SECOND
+STATUS_RETRY_INTERVAL = 500 * MS
 # How far past what was heard all voters begin that have all forgotten.
-BEGIN_PAST = 1000
+RESET_MARGIN = 1000
 
-Number = Annotated[int, Meta(ge=0, lt=1 << 62)]
-Value = Annotated[bytes, Meta(max_length=LARGEST_VALUE)]
+SlotNumber = Annotated[int, Meta(ge=0, lt=1 << 62)]
+Value = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
 
 
 class Kind(IntEnum):
@@ -46,59 +46,59 @@
     PROMISE = 1  # held: the ballot that its value was taken under, NONE if none was
     ACCEPT = 2
     ACCEPTED = 3
-    REFUSE = 4  # ballot: the one that goes first
-    HELD = 5  # value: of that number, for good
-    WHERE = 6
-    AT = 7  # number and value held; top: voted on up to there; base, lives: where all began anew, and who
+    NACK = 4  # ballot: the one that goes first
+    CHOSEN = 5  # value: of that number, for good
+    STATUS_REQUEST = 6
+    STATUS = 7  # number and value held; top: voted on up to there; base, lives: where all began anew, and who
 
 
-class Vote(msgspec.Struct, array_like=True, frozen=True):
+class VoterMessage(msgspec.Struct, array_like=True, frozen=True):
     """One message between voters."""
 
     format: Annotated[int, Meta(ge=0)]
     kind: Kind
-    place: Annotated[int, Meta(ge=0, le=6)]
-    life: Number
-    number: Number = 0
-    ballot: Ballot = NONE
-    held: Ballot = NONE
+    voter_id: Annotated[int, Meta(ge=0, le=6)]
+    instance_id: SlotNumber
+    slot: SlotNumber = 0
+    ballot: Ballot = NO_BALLOT
+    accepted_ballot: Ballot = NO_BALLOT
     value: Value = b""
-    wants: Value = b""  # with PREPARE: what is to have the number, if nothing was taken yet
-    top: Annotated[int, Meta(ge=-1, lt=1 << 62)] = -1  # below 0: without memory
+    proposal: Value = b""  # with PREPARE: what is to have the number, if nothing was taken yet
+    highest_voted: Annotated[int, Meta(ge=-1, lt=1 << 62)] = -1  # below 0: without memory
     floor: Annotated[int, Meta(ge=-1, lt=1 << 62)] = -1  # votes on what is past it; below 0: on nothing
-    base: Number = 0
-    lives: Annotated[list[Number], Meta(max_length=7)] = []
+    reset_slot: SlotNumber = 0
+    reset_instances: Annotated[list[SlotNumber], Meta(max_length=7)] = []
 
 
-class Memory(msgspec.Struct, array_like=True, frozen=True):
+class DurableState(msgspec.Struct, array_like=True, frozen=True):
     """What must outlast a voter."""
 
-    number: Number
-    plan: Value
+    chosen_slot: SlotNumber
+    chosen_value: Value
     promised: Ballot
-    accepted: Ballot
-    value: Value
-    floor: Number
+    accepted_ballot: Ballot
+    accepted_value: Value
+    floor: SlotNumber
 
 
 encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(Vote).decode
-decode_memory = msgspec.msgpack.Decoder(Memory).decode
+decode = msgspec.msgpack.Decoder(VoterMessage).decode
+decode_state = msgspec.msgpack.Decoder(DurableState).decode
 
 
-class VotesHost(Protocol):
+class VoterHost(Protocol):
     """What the machine may have done."""
 
-    def send(self, place: int, data: bytes) -> None: ...
-    def wake(self, delay: int, token: int) -> None: ...
-    def keep(self, memory: bytes) -> None:
+    def send(self, voter_id: int, data: bytes) -> None: ...
+    def set_timer(self, delay: int, token: int) -> None: ...
+    def persist(self, memory: bytes) -> None:
         """Before it returns it lasts; or nothing does, and the next life starts without memory."""
 
-    def agrees(self, value: bytes) -> bool:
+    def approves(self, value: bytes) -> bool:
         """Whether this voter would have such a value. Asked before a promise alone: what may have been taken
         already must be taken again, whoever likes it."""
 
-    def held(self, number: int, value: bytes) -> None:
+    def chosen(self, slot: int, value: bytes) -> None:
         """This value has this number, for good. Numbers only grow; some may be passed over."""
 
 
@@ -106,77 +106,93 @@
     """One of `count` voters, at its place. Public: `number` and `plan`, the last held, and `counts`."""
 
     def __init__(
-        self, host: VotesHost, place: int, count: int, seed: int, memory: bytes | None = None, heard: int = 0
+        self,
+        host: VoterHost,
+        voter_id: int,
+        count: int,
+        seed: int,
+        memory: bytes | None = None,
+        known_slot: int = 0,
     ) -> None:
         """`heard`: the highest number that is known of elsewhere. A memory that can't be read is none."""
-        if count not in (3, 5, 7) or not 0 <= place < count:
-            raise ValueError(f"3, 5 or 7 voters are needed, got place {place} of {count}")
+        if count not in (3, 5, 7) or not 0 <= voter_id < count:
+            raise ValueError(f"3, 5 or 7 voters are needed, got place {voter_id} of {count}")
         self.host = host
-        self.place = place
+        self.voter_id = voter_id
         self.count = count
         self.majority = count // 2 + 1
-        self.chance = random.Random(seed)
-        self.life = self.chance.getrandbits(60)
-        self.heard = heard
-        self.number, self.plan = 0, b""
-        self.promised = self.accepted = NONE
-        self.value = b""
+        self.rng = random.Random(seed)
+        self.instance_id = self.rng.getrandbits(60)
+        self.known_slot = known_slot
+        self.chosen_slot, self.chosen_value = 0, b""
+        self.promised = self.accepted_ballot = NO_BALLOT
+        self.accepted_value = b""
         self.floor = -1  # votes on what is past it; below 0: on nothing yet
-        self.base = 0  # where all began anew, if they did in this life
-        self.lives: list[int] = []
+        self.reset_slot = 0  # where all began anew, if they did in this life
+        self.reset_instances: list[int] = []
         self.counts = {"malformed": 0}
-        self._remembers(memory)
-        self._asked = 0  # rounds of asking where the others are
-        self._forgot: list[int] = []  # all lives, where a whole round had too few with a memory
-        self._at: dict[int, Vote] = {}  # what the others say of themselves, while this one has no memory
-        self._wanted: bytes | None = None
+        self._restore(memory)
+        self._status_round = 0  # rounds of asking where the others are
+        self._previous_instances: list[int] = []  # all lives, where a whole round had too few with a memory
+        self._statuses: dict[
+            int, VoterMessage
+        ] = {}  # what the others say of themselves, while this one has no memory
+        self._requested: bytes | None = None
         self._round = 0
-        self._ballot = NONE  # of the proposal that is under way
-        self._promises: dict[int, Vote] = {}
+        self._ballot = NO_BALLOT  # of the proposal that is under way
+        self._promises: dict[int, VoterMessage] = {}
         self._accepts: set[int] = set()
-        self._proposed = b""
-        self._asks = False  # for promises; else for votes
-        self._tries = 0
-        self._token = 0
-        self._due: dict[str, int] = {}  # by the method that is to be called
+        self._round_value = b""
+        self._collecting_promises = False  # for promises; else for votes
+        self._attempts = 0
+        self._last_token = 0
+        self._timers: dict[str, int] = {}  # by the method that is to be called
 
-    def _remembers(self, memory: bytes | None) -> None:
+    def _restore(self, memory: bytes | None) -> None:
         if memory is None:
             return
         try:
-            told = decode_memory(memory)
+            told = decode_state(memory)
         except msgspec.MsgspecError:
             return
-        self.number, self.plan, self.promised = told.number, told.plan, told.promised
-        self.accepted, self.value, self.floor = told.accepted, told.value, told.floor
+        self.chosen_slot, self.chosen_value, self.promised = (
+            told.chosen_slot,
+            told.chosen_value,
+            told.promised,
+        )
+        self.accepted_ballot, self.accepted_value, self.floor = (
+            told.accepted_ballot,
+            told.accepted_value,
+            told.floor,
+        )
 
     # -- what the host calls -----------------------------------------------------------------------
 
     def start(self) -> None:
-        self._ask_where()
+        self._ask_status()
 
     def propose(self, value: bytes) -> None:
         """This value is to have the next number. One at a time; a later one goes before it."""
-        if len(value) > LARGEST_VALUE:
-            raise ValueError(f"a value has {LARGEST_VALUE} bytes at most")
-        idle = self._wanted is None
-        self._wanted = value
+        if len(value) > MAX_VALUE_BYTES:
+            raise ValueError(f"a value has {MAX_VALUE_BYTES} bytes at most")
+        idle = self._requested is None
+        self._requested = value
         if idle:
-            self._tries = 0
+            self._attempts = 0
             self._begin()
 
     def withdraw(self) -> None:
         """Nothing is wanted any more. What is under way may still be taken; nothing new is begun."""
-        self._wanted = None
-        if self._ballot == NONE or self._asks:
-            self._ballot = NONE
-            self._due.pop("_begin", None)
-            self._due.pop("_back_off", None)
-
-    def woke(self, token: int) -> None:
-        for name, due in list(self._due.items()):
+        self._requested = None
+        if self._ballot == NO_BALLOT or self._collecting_promises:
+            self._ballot = NO_BALLOT
+            self._timers.pop("_begin", None)
+            self._timers.pop("_back_off", None)
+
+    def timer_expired(self, token: int) -> None:
+        for name, due in list(self._timers.items()):
             if due == token:
-                del self._due[name]
+                del self._timers[name]
                 getattr(self, name)()
 
     def received(self, data: bytes) -> None:
@@ -185,239 +201,260 @@
         except (msgspec.MsgspecError, RecursionError):
             self.counts["malformed"] += 1
             return
-        if vote.place < self.count and vote.place != self.place:
-            self._take(vote)
+        if vote.voter_id < self.count and vote.voter_id != self.voter_id:
+            self._handle(vote)
 
     # -- messages ----------------------------------------------------------------------------------
 
-    def _take(self, vote: Vote) -> None:
+    def _handle(self, vote: VoterMessage) -> None:
         (
-            self._prepare,
-            self._promise,
-            self._accept,
-            self._accepted,
-            self._refuse,
-            self._told,
-            self._where,
-            self._heard_at,
+            self._handle_prepare,
+            self._handle_promise,
+            self._handle_accept,
+            self._handle_accepted,
+            self._handle_nack,
+            self._handle_chosen,
+            self._handle_status_request,
+            self._handle_status,
         )[vote.kind](vote)
 
-    def _say(self, place: int, kind: Kind, **told: Any) -> None:
-        vote = Vote(FORMAT, kind, self.place, self.life, **told)
-        if place == self.place:
+    def _send(self, recipient: int, kind: Kind, **fields: Any) -> None:
+        vote = VoterMessage(FORMAT, kind, self.voter_id, self.instance_id, **fields)
+        if recipient == self.voter_id:
             # Its own vote counts as the others' do, and goes the same way.
-            self._take(vote)
+            self._handle(vote)
         else:
-            self.host.send(place, encode(vote))
+            self.host.send(recipient, encode(vote))
 
-    def _say_all(self, kind: Kind, **told: Any) -> None:
+    def _broadcast(self, kind: Kind, **fields: Any) -> None:
         # Itself last: what it does then may begin something new.
-        for place in sorted(range(self.count), key=lambda place: place == self.place):
-            self._say(place, kind, **told)
-
-    def _keep(self) -> None:
-        self.host.keep(
-            encode(Memory(self.number, self.plan, self.promised, self.accepted, self.value, self.floor))
+        for voter_id in sorted(range(self.count), key=lambda voter_id: voter_id == self.voter_id):
+            self._send(voter_id, kind, **fields)
+
+    def _persist(self) -> None:
+        self.host.persist(
+            encode(
+                DurableState(
+                    self.chosen_slot,
+                    self.chosen_value,
+                    self.promised,
+                    self.accepted_ballot,
+                    self.accepted_value,
+                    self.floor,
+                )
+            )
         )
 
-    def _wait(self, delay: int, name: str) -> None:
+    def _schedule(self, delay: int, name: str) -> None:
         """Has that method called; again in its wait, it is called later."""
-        self._token += 1
-        self._due[name] = self._token
-        self.host.wake(delay, self._token)
+        self._last_token += 1
+        self._timers[name] = self._last_token
+        self.host.set_timer(delay, self._last_token)
 
-    def _propose_in(self, delay: int, name: str) -> None:
+    def _schedule_proposal(self, delay: int, name: str) -> None:
         """One step of a proposal waits at a time."""
-        self._due.pop("_begin", None)
-        self._due.pop("_back_off", None)
-        self._wait(delay, name)
+        self._timers.pop("_begin", None)
+        self._timers.pop("_back_off", None)
+        self._schedule(delay, name)
 
     # -- one who votes -----------------------------------------------------------------------------
 
-    def _may_vote(self, number: int) -> bool:
-        return 0 <= self.floor < number
+    def _may_vote(self, slot: int) -> bool:
+        return 0 <= self.floor < slot
 
-    def _prepare(self, vote: Vote) -> None:
-        if vote.number - 1 > self.number:
-            self._hold(vote.number - 1, vote.value)
-        if vote.number <= self.number:
-            self._say(vote.place, Kind.HELD, number=self.number, value=self.plan)
-        elif self._may_vote(vote.number):
+    def _handle_prepare(self, vote: VoterMessage) -> None:
+        if vote.slot - 1 > self.chosen_slot:
+            self._learn_chosen(vote.slot - 1, vote.value)
+        if vote.slot <= self.chosen_slot:
+            self._send(vote.voter_id, Kind.CHOSEN, slot=self.chosen_slot, value=self.chosen_value)
+        elif self._may_vote(vote.slot):
             if vote.ballot > self.promised:
-                if vote.place != self.place and vote.wants and not self.host.agrees(vote.wants):
+                if vote.voter_id != self.voter_id and vote.proposal and not self.host.approves(vote.proposal):
                     return
                 self.promised = vote.ballot
-                self._keep()
-                self._say(
-                    vote.place,
+                self._persist()
+                self._send(
+                    vote.voter_id,
                     Kind.PROMISE,
-                    number=vote.number,
+                    slot=vote.slot,
                     ballot=vote.ballot,
-                    held=self.accepted,
-                    value=self.value,
+                    accepted_ballot=self.accepted_ballot,
+                    value=self.accepted_value,
                 )
             elif vote.ballot < self.promised:
-                self._say(vote.place, Kind.REFUSE, number=vote.number, ballot=self.promised)
+                self._send(vote.voter_id, Kind.NACK, slot=vote.slot, ballot=self.promised)
 
-    def _accept(self, vote: Vote) -> None:
-        if vote.number <= self.number:
-            self._say(vote.place, Kind.HELD, number=self.number, value=self.plan)
-        elif vote.number == self.number + 1 and self._may_vote(vote.number):
+    def _handle_accept(self, vote: VoterMessage) -> None:
+        if vote.slot <= self.chosen_slot:
+            self._send(vote.voter_id, Kind.CHOSEN, slot=self.chosen_slot, value=self.chosen_value)
+        elif vote.slot == self.chosen_slot + 1 and self._may_vote(vote.slot):
             if vote.ballot >= self.promised:
-                self.promised = self.accepted = vote.ballot
-                self.value = vote.value
-                self._keep()
-                self._say(vote.place, Kind.ACCEPTED, number=vote.number, ballot=vote.ballot)
+                self.promised = self.accepted_ballot = vote.ballot
+                self.accepted_value = vote.value
+                self._persist()
+                self._send(vote.voter_id, Kind.ACCEPTED, slot=vote.slot, ballot=vote.ballot)
             else:
-                self._say(vote.place, Kind.REFUSE, number=vote.number, ballot=self.promised)
+                self._send(vote.voter_id, Kind.NACK, slot=vote.slot, ballot=self.promised)
 
-    def _told(self, vote: Vote) -> None:
-        if vote.number > self.number:
-            self._hold(vote.number, vote.value)
+    def _handle_chosen(self, vote: VoterMessage) -> None:
+        if vote.slot > self.chosen_slot:
+            self._learn_chosen(vote.slot, vote.value)
 
-    def _hold(self, number: int, value: bytes) -> None:
+    def _learn_chosen(self, slot: int, value: bytes) -> None:
         """This number is settled; the next is open, and nothing was promised for it."""
-        self.number, self.plan = number, value
-        self.promised = self.accepted = NONE
-        self.value = b""
+        self.chosen_slot, self.chosen_value = slot, value
+        self.promised = self.accepted_ballot = NO_BALLOT
+        self.accepted_value = b""
         if self.floor >= 0:
-            self._keep()
+            self._persist()
         if value:
-            self.host.held(number, value)
-        if self._wanted is not None and self.floor >= 0:
+            self.host.chosen(slot, value)
+        if self._requested is not None and self.floor >= 0:
             # One without memory goes on asking where the others are, and proposes after that.
-            self._ballot = NONE
-            if value == self._wanted:
-                self._wanted = None
-                self._due.pop("_begin", None)
-                self._due.pop("_back_off", None)
+            self._ballot = NO_BALLOT
+            if value == self._requested:
+                self._requested = None
+                self._timers.pop("_begin", None)
+                self._timers.pop("_back_off", None)
             else:
                 self._back_off()
 
     # -- one who proposes --------------------------------------------------------------------------
 
     def _begin(self) -> None:
-        if self._wanted is None or self.floor < 0:
+        if self._requested is None or self.floor < 0:
             # Without memory it waits for that first; see _settle.
             return
         self._round += 1
-        self._ballot = self._round, self.place
-        self._promises, self._accepts, self._asks = {}, set(), True
-        self._tries += 1
-        self._propose_in(ANSWERS_WITHIN, "_back_off")
-        self._say_all(
+        self._ballot = self._round, self.voter_id
+        self._promises, self._accepts, self._collecting_promises = {}, set(), True
+        self._attempts += 1
+        self._schedule_proposal(ROUND_TIMEOUT, "_back_off")
+        self._broadcast(
             Kind.PREPARE,
-            number=self.number + 1,
+            slot=self.chosen_slot + 1,
             ballot=self._ballot,
-            value=self.plan,
-            wants=self._wanted,
+            value=self.chosen_value,
+            proposal=self._requested,
         )
 
     def _back_off(self) -> None:
-        self._ballot = NONE
-        most = min(LONGEST, BACK_OFF << min(self._tries, 8))
-        self._propose_in(self.chance.randrange(most) + 1, "_begin")
+        self._ballot = NO_BALLOT
+        most = min(MAX_BACKOFF, BACKOFF_BASE << min(self._attempts, 8))
+        self._schedule_proposal(self.rng.randrange(most) + 1, "_begin")
 
-    def _answers(self, vote: Vote) -> bool:
-        return vote.ballot == self._ballot and vote.number == self.number + 1
+    def _matches_round(self, vote: VoterMessage) -> bool:
+        return vote.ballot == self._ballot and vote.slot == self.chosen_slot + 1
 
-    def _promise(self, vote: Vote) -> None:
-        if not (self._answers(vote) and self._asks):
+    def _handle_promise(self, vote: VoterMessage) -> None:
+        if not (self._matches_round(vote) and self._collecting_promises):
             return
-        self._promises[vote.place] = vote
+        self._promises[vote.voter_id] = vote
         if len(self._promises) >= self.majority:
             # What may have been taken already must be taken again; only else is there a choice.
-            latest = max(self._promises.values(), key=lambda promise: promise.held)
-            self._proposed = latest.value if latest.held > NONE else (self._wanted or b"")
-            self._asks = False
-            self._say_all(Kind.ACCEPT, number=self.number + 1, ballot=self._ballot, value=self._proposed)
+            latest = max(self._promises.values(), key=lambda promise: promise.accepted_ballot)
+            self._round_value = (
+                latest.value if latest.accepted_ballot > NO_BALLOT else (self._requested or b"")
+            )
+            self._collecting_promises = False
+            self._broadcast(
+                Kind.ACCEPT, slot=self.chosen_slot + 1, ballot=self._ballot, value=self._round_value
+            )
 
-    def _accepted(self, vote: Vote) -> None:
-        if not self._answers(vote) or self._asks:
+    def _handle_accepted(self, vote: VoterMessage) -> None:
+        if not self._matches_round(vote) or self._collecting_promises:
             return
-        self._accepts.add(vote.place)
+        self._accepts.add(vote.voter_id)
         if len(self._accepts) >= self.majority:
-            self._say_all(Kind.HELD, number=vote.number, value=self._proposed)
+            self._broadcast(Kind.CHOSEN, slot=vote.slot, value=self._round_value)
 
-    def _refuse(self, vote: Vote) -> None:
+    def _handle_nack(self, vote: VoterMessage) -> None:
         self._round = max(self._round, vote.ballot[0])
-        if vote.number == self.number + 1 and self._ballot != NONE and vote.ballot > self._ballot:
+        if vote.slot == self.chosen_slot + 1 and self._ballot != NO_BALLOT and vote.ballot > self._ballot:
             self._back_off()
 
     # -- one without memory ------------------------------------------------------------------------
 
     @property
-    def top(self) -> int:
+    def highest_voted(self) -> int:
         """The highest number that it may have voted on; below 0: it can't know."""
         if self.floor < 0:
             return -1
-        return max(self.floor, self.number + (self.promised > NONE))
+        return max(self.floor, self.chosen_slot + (self.promised > NO_BALLOT))
 
-    def _ask_where(self) -> None:
+    def _ask_status(self) -> None:
         """For as long as it may not vote on the open number."""
-        if not self._may_vote(self.number + 1):
-            self._asked += 1
-            self._at = {}
-            self._wait(ASK_AGAIN, "_ask_where")
-            self._say_all(Kind.WHERE, number=self._asked)
-
-    def _where(self, vote: Vote) -> None:
-        if vote.place != self.place:
-            self._say(
-                vote.place,
-                Kind.AT,
-                number=self.number,
-                value=self.plan,
-                ballot=(vote.number, vote.place),
-                top=self.top,
+        if not self._may_vote(self.chosen_slot + 1):
+            self._status_round += 1
+            self._statuses = {}
+            self._schedule(STATUS_RETRY_INTERVAL, "_ask_status")
+            self._broadcast(Kind.STATUS_REQUEST, slot=self._status_round)
+
+    def _handle_status_request(self, vote: VoterMessage) -> None:
+        if vote.voter_id != self.voter_id:
+            self._send(
+                vote.voter_id,
+                Kind.STATUS,
+                slot=self.chosen_slot,
+                value=self.chosen_value,
+                ballot=(vote.slot, vote.voter_id),
+                highest_voted=self.highest_voted,
                 floor=self.floor,
-                base=self.base,
-                lives=self.lives,
+                reset_slot=self.reset_slot,
+                reset_instances=self.reset_instances,
             )
 
-    def _heard_at(self, vote: Vote) -> None:
-        if self._may_vote(self.number + 1) or vote.ballot[0] != self._asked:
+    def _handle_status(self, vote: VoterMessage) -> None:
+        if self._may_vote(self.chosen_slot + 1) or vote.ballot[0] != self._status_round:
             return
-        self._at[vote.place] = vote
-        know = [other for other in self._at.values() if other.top >= 0]
+        self._statuses[vote.voter_id] = vote
+        know = [other for other in self._statuses.values() if other.highest_voted >= 0]
         if self.floor < 0 and len(know) >= self.majority:
-            self._settle(max(other.top for other in know) + 1)
-        elif self.floor < 0 and len(vote.lives) == self.count and vote.lives[self.place] == self.life:
+            self._finish_recovery(max(other.highest_voted for other in know) + 1)
+        elif (
+            self.floor < 0
+            and len(vote.reset_instances) == self.count
+            and vote.reset_instances[self.voter_id] == self.instance_id
+        ):
             # Too many had forgotten, and this very life was counted among them.
-            self._begin_anew(vote.base, vote.lives)
-        elif len(self._at) == self.count - 1:
-            self._all_at()
+            self._reset(vote.reset_slot, vote.reset_instances)
+        elif len(self._statuses) == self.count - 1:
+            self._handle_all_statuses()
 
-    def _all_at(self) -> None:
+    def _handle_all_statuses(self) -> None:
         """All others have said where they are."""
-        latest = max(self._at.values(), key=lambda other: other.number)
-        if latest.number > self.number:
-            self._hold(latest.number, latest.value)
-        voting = sum(0 <= other.floor <= self.number for other in self._at.values())
-        if self._may_vote(self.number + 1) or voting >= self.majority:
+        latest = max(self._statuses.values(), key=lambda other: other.slot)
+        if latest.slot > self.chosen_slot:
+            self._learn_chosen(latest.slot, latest.value)
+        voting = sum(0 <= other.floor <= self.chosen_slot for other in self._statuses.values())
+        if self._may_vote(self.chosen_slot + 1) or voting >= self.majority:
             return
-        lives = {other.place: other.life for other in self._at.values()} | {self.place: self.life}
-        all_lives = [lives[place] for place in range(self.count)]
-        if self._forgot != all_lives:
-            self._forgot = all_lives
+        instances = {other.voter_id: other.instance_id for other in self._statuses.values()} | {
+            self.voter_id: self.instance_id
+        }
+        all_instances = [instances[voter_id] for voter_id in range(self.count)]
+        if self._previous_instances != all_instances:
+            self._previous_instances = all_instances
             return
         # Twice in a row: so there was a moment between the rounds when too few could vote, and no life that
         # could not then ever will, on numbers up to here.
-        tops = [max(other.number, other.top) for other in self._at.values()]
-        self._begin_anew(max(self.heard, self.number, self.top, *tops) + BEGIN_PAST, all_lives)
+        highest = [max(other.slot, other.highest_voted) for other in self._statuses.values()]
+        self._reset(
+            max(self.known_slot, self.chosen_slot, self.highest_voted, *highest) + RESET_MARGIN, all_instances
+        )
 
-    def _begin_anew(self, base: int, lives: list[int]) -> None:
-        self.base, self.lives = base, lives
-        if base > self.number:
+    def _reset(self, reset_slot: int, reset_instances: list[int]) -> None:
+        self.reset_slot, self.reset_instances = reset_slot, reset_instances
+        if reset_slot > self.chosen_slot:
             # There is no plan with this number; the first is past it.
-            self._hold(base, b"")
-        self._settle(base)
+            self._learn_chosen(reset_slot, b"")
+        self._finish_recovery(reset_slot)
 
-    def _settle(self, floor: int) -> None:
+    def _finish_recovery(self, floor: int) -> None:
         self.floor = floor
-        latest = max(self._at.values(), key=lambda other: other.number)
-        self._at = {}
-        if latest.number > self.number:
-            self._hold(latest.number, latest.value)
-        self._keep()
+        latest = max(self._statuses.values(), key=lambda other: other.slot)
+        self._statuses = {}
+        if latest.slot > self.chosen_slot:
+            self._learn_chosen(latest.slot, latest.value)
+        self._persist()
         self._begin()
--- a/cedarledge/model/peers.py
+++ b/cedarledge/model/peers.py
@@ -8,8 +8,8 @@
 from typing import Any, NamedTuple
 
 from cedarledge.model.world import WHOLE, Lane, Seat, World
-from cedarledge.peers.machine import SILENT_FOR, Member, Pace, Peers
-from cedarledge.peers.messages import LARGEST, State, decode, newer
+from cedarledge.peers.machine import SILENCE_DURATION, Member, Membership, ProbeTiming
+from cedarledge.peers.messages import MAX_DATAGRAM_BYTES, State, decode, is_newer
 from cedarledge.terms import MS, SECOND
 
 FAULTS = (
@@ -64,7 +64,7 @@
         self.seen: dict[str, tuple[Member, int, int, int]] = {}
 
     @property
-    def peers(self) -> Peers | None:
+    def peers(self) -> Membership | None:
         return self.machine  # type: ignore[return-value]
 
     def begin(self, incarnation: int = 0) -> None:
@@ -72,16 +72,25 @@
         self.seen = {}
         self.ahead = world.chance.randrange(10 * SECOND)
         seeds = self.fleet.seeds()
-        self.machine = Peers(
-            self, "model", self.name, self.address, seeds, Pace(), world.chance.getrandbits(60), incarnation
+        self.machine = Membership(
+            self,
+            "model",
+            self.name,
+            self.address,
+            seeds,
+            ProbeTiming(),
+            world.chance.getrandbits(60),
+            incarnation,
         )
         self.machine.start(self.now)
-        self.machine.tell(self.now, zone=f"zone-{self.number % 3 + 1}", version="0", tunnels=self.number)
+        self.machine.set_metadata(
+            self.now, zone=f"zone-{self.number % 3 + 1}", version="0", tunnels=self.number
+        )
 
     def changed(self, name: str, before: State | None, after: State | None, why: str) -> None:
         self.fleet.changed(self, name, before, after, why)
 
-    def doubled(self, address: str) -> None:
+    def name_conflict(self, address: str) -> None:
         self.fleet.note(f"{self.name} at {self.address} keeps silent for {address}")
 
 
@@ -130,12 +139,12 @@
     def _acquaint(self) -> None:
         for place in self.places:
             place.begin(self.incarnation)
-        rows = [place.peers.news() for place in self.places]
+        rows = [place.peers.own_update() for place in self.places]
         for place in self.places:
             for news in rows:
                 if news.name != place.name:
-                    place.peers._hear(news)
-            place.peers._news.clear()
+                    place.peers._apply_update(news)
+            place.peers._broadcasts.clear()
 
     def address(self, number: int) -> str:
         return f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:7000"
@@ -157,7 +166,9 @@
 
     def read(self, seat: Place, data: bytes) -> None:
         message = decode(data)
-        told = ", ".join(f"{news.name}:{news.state.name.lower()}@{news.incarnation}" for news in message.news)
+        told = ", ".join(
+            f"{news.name}:{news.state.name.lower()}@{news.incarnation}" for news in message.updates
+        )
         self.note(f"{seat.name} reads {message.kind.name} of {message.name}@{message.incarnation} [{told}]")
 
     # -- troubles ----------------------------------------------------------------------------------
@@ -305,7 +316,7 @@
     def check(self, place: Place) -> None:
         """What holds at every step. Raises BrokenError."""
         self._looks += 1
-        if place.largest > LARGEST:
+        if place.largest > MAX_DATAGRAM_BYTES:
             raise BrokenError(f"{place.name} sent {place.largest} bytes")
         if self.size > SMALL and self._looks % NOW_AND_THEN:
             return
@@ -315,12 +326,12 @@
         if place.name in peers.members:
             raise BrokenError(f"{place.name} is a member of its own view")
         for name, member in peers.members.items():
-            now = (member, member.incarnation, member.life, int(member.state))
+            now = (member, member.incarnation, member.instance_id, int(member.state))
             seen = place.seen.get(name)
             place.seen[name] = now
             if seen is None or seen[0] is not member or seen[1:] == now[1:]:
                 continue
-            if newer(seen[1], now[1]) or (seen[1] == now[1] and seen[2:] > now[2:]):
+            if is_newer(seen[1], now[1]) or (seen[1] == now[1] and seen[2:] > now[2:]):
                 raise BrokenError(f"{place.name}: {name} went back from {seen[1:]} to {now[1:]}")
 
     def disagreement(self) -> str:
@@ -347,7 +358,7 @@
         self.world.run(over)
         within = AGREE + AGREE_EACH * self.size
         if any(trouble.kind == "doubled" for trouble in self.troubles):
-            within += 2 * SILENT_FOR
+            within += 2 * SILENCE_DURATION
         while self.disagreement():
             if self.world.now >= over + within:
                 raise BrokenError(f"{within / SECOND:.0f} s after the last fault: {self.disagreement()}")
--- a/cedarledge/model/votes.py
+++ b/cedarledge/model/votes.py
@@ -43,13 +43,13 @@
     def send(self, place: int, data: bytes) -> None:  # type: ignore[override]
         super().send(f"v{place}", data)
 
-    def keep(self, memory: bytes) -> None:
+    def persist(self, memory: bytes) -> None:
         self.memory = memory
 
-    def agrees(self, value: bytes) -> bool:
+    def approves(self, value: bytes) -> bool:
         return self.register.agrees(self.number, value)
 
-    def held(self, number: int, value: bytes) -> None:
+    def chosen(self, number: int, value: bytes) -> None:
         self.register.held(self.number, number, value)
 
 
@@ -61,8 +61,8 @@
     def received(self, _now: int, data: bytes) -> None:
         self.voter.received(data)
 
-    def woke(self, _now: int, token: int) -> None:
-        self.voter.woke(token)
+    def timer_expired(self, _now: int, token: int) -> None:
+        self.voter.timer_expired(token)
 
 
 class Register:
@@ -160,14 +160,14 @@
             self.start(place)
         over = world.now
         self.propose(0)
-        while len({(seat.voter.number, seat.voter.plan) for seat in self.places}) > 1 or (
-            self.places[0].voter._wanted is not None
+        while len({(seat.voter.chosen_slot, seat.voter.chosen_value) for seat in self.places}) > 1 or (
+            self.places[0].voter._requested is not None
         ):
             if world.now > over + AGREE:
-                told = [(seat.voter.number, seat.voter.floor) for seat in self.places]
+                told = [(seat.voter.chosen_slot, seat.voter.floor) for seat in self.places]
                 raise BrokenError(f"{AGREE // SECOND} s after the last fault voters hold {told}")
             world.run(world.now + 100 * MS)
-            if len(self.values) and world.now - over > 5 * SECOND and self.places[0].voter._wanted is None:
+            if len(self.values) and world.now - over > 5 * SECOND and self.places[0].voter._requested is None:
                 # Whoever missed the word hears of it with the next number.
                 self.propose(0)
         self.agreed = world.now - over
@@ -209,16 +209,16 @@
     def send(self, place: int, data: bytes) -> None:
         self.table.sent.add((place, data))
 
-    def wake(self, _delay: int, token: int) -> None:
+    def set_timer(self, _delay: int, token: int) -> None:
         pass
 
-    def keep(self, memory: bytes) -> None:
+    def persist(self, memory: bytes) -> None:
         self.table.kept[self.place] = memory
 
-    def agrees(self, value: bytes) -> bool:
+    def approves(self, value: bytes) -> bool:
         return True
 
-    def held(self, number: int, value: bytes) -> None:
+    def chosen(self, number: int, value: bytes) -> None:
         if self.table.values.setdefault(number, value) != value:
             raise BrokenError(f"number {number} is {self.table.values[number]!r} and {value!r}")
 
@@ -239,7 +239,7 @@
 
     def _voter(self, place: int, life: int) -> Voter:
         voter = self.kind(Hand(place, self), place, 3, 0, self.kept[place])
-        voter.chance, voter.life = Still(), life  # type: ignore[assignment]
+        voter.rng, voter.instance_id = Still(), life  # type: ignore[assignment]
         return voter
 
     def copy(self) -> Table:
@@ -249,37 +249,37 @@
         new.voters = []
         for voter in self.voters:
             twin = copy.copy(voter)
-            twin.host = Hand(voter.place, new)
-            twin._at, twin._promises, twin._accepts = (
-                dict(voter._at),
+            twin.host = Hand(voter.voter_id, new)
+            twin._statuses, twin._promises, twin._accepts = (
+                dict(voter._statuses),
                 dict(voter._promises),
                 set(voter._accepts),
             )
-            twin._due = dict(voter._due)
+            twin._timers = dict(voter._timers)
             new.voters.append(twin)
         return new
 
     def key(self) -> tuple[Any, ...]:
         voters = tuple(
             (
-                v.life,
-                v.number,
-                v.plan,
+                v.instance_id,
+                v.chosen_slot,
+                v.chosen_value,
                 v.promised,
-                v.accepted,
-                v.value,
+                v.accepted_ballot,
+                v.accepted_value,
                 v.floor,
-                v._wanted,
+                v._requested,
                 v._round,
                 v._ballot,
                 frozenset(v._promises),
                 frozenset(v._accepts),
-                v._proposed,
-                v._asks,
-                v._asked,
-                frozenset(v._at),
-                tuple(v._forgot),
-                frozenset(v._due),
+                v._round_value,
+                v._collecting_promises,
+                v._status_round,
+                frozenset(v._statuses),
+                tuple(v._previous_instances),
+                frozenset(v._timers),
             )
             for v in self.voters
         )
@@ -288,8 +288,8 @@
     def moves(self) -> list[tuple[str, int, Any]]:
         moves: list[tuple[str, int, Any]] = [("comes", place, data) for place, data in sorted(self.sent)]
         for voter in self.voters:
-            if voter._round < 2 and voter._asked < 4:
-                moves += [("wakes", voter.place, name) for name in sorted(voter._due)]
+            if voter._round < 2 and voter._status_round < 4:
+                moves += [("wakes", voter.voter_id, name) for name in sorted(voter._timers)]
         if self.crashes:
             moves += [(how, 2, None) for how in ("crashes", "forgets")]
         return moves
@@ -299,12 +299,12 @@
         if how == "comes":
             voter.received(data)
         elif how == "wakes":
-            voter.woke(voter._due[data])
+            voter.timer_expired(voter._timers[data])
         else:
             self.crashes -= 1
             if how == "forgets":
                 self.kept[place] = None
-            self.voters[place] = self._voter(place, voter.life + 10)
+            self.voters[place] = self._voter(place, voter.instance_id + 10)
             self.voters[place].start()
 
 
--- a/cedarledge/model/world.py
+++ b/cedarledge/model/world.py
@@ -20,7 +20,7 @@
     """What a world runs. It acts by calling the Seat that it was made with."""
 
     def received(self, now: int, data: bytes) -> None: ...
-    def woke(self, now: int, token: int) -> None: ...
+    def timer_expired(self, now: int, token: int) -> None: ...
 
 
 class Lane(NamedTuple):
@@ -60,7 +60,7 @@
         self.largest = max(self.largest, len(data))
         self.world.carry(self.address, address, data)
 
-    def wake(self, delay: int, token: int) -> None:
+    def set_timer(self, delay: int, token: int) -> None:
         self.world.after(delay, self._wake, self.turn, token)
 
     def _wake(self, turn: int, token: int) -> None:
@@ -69,7 +69,7 @@
         if self.stopped:
             self._due.append(token)
         else:
-            self.machine.woke(self.now, token)
+            self.machine.timer_expired(self.now, token)
             self.world.acted(self)
 
     @property
--- a/cedarledge/model/zones.py
+++ b/cedarledge/model/zones.py
@@ -14,13 +14,13 @@
 
 from cedarledge.failover.plans import (
     HEADROOM,
-    LONGEST_AWAY,
+    MAX_RETURN_DELAY,
     Plan,
     Planner,
-    Sight,
+    RelayReport,
     State,
-    Teller,
-    followed,
+    ZoneObservation,
+    routing_weights,
 )
 from cedarledge.model.peers import BrokenError
 from cedarledge.model.votes import Register
@@ -31,7 +31,7 @@
 TROUBLE, LIFE = 10 * SECOND, 8.0
 # Once the faults are over all follow one plan, in which every zone is open, within this. A zone that came
 # and went is away for as long as its planner lets it at most.
-AGREE = LONGEST_AWAY + 60 * SECOND
+AGREE = MAX_RETURN_DELAY + 60 * SECOND
 
 
 class Trouble(NamedTuple):
@@ -138,7 +138,7 @@
         failing = [other for other in self.names if not self.reaches(zone, other)]
         plan = self.plans.get(self.follows[zone])
         if plan is not None:
-            shares = followed(plan, zone, failing)
+            shares = routing_weights(plan, zone, failing)
             if shares:
                 return shares
         # As each relay alone today: the own zone, else all that it reaches.
@@ -178,9 +178,9 @@
     def load_of(self, zone: str) -> float:
         return sum(self.tunnels[one, zone] for one in self.names) / 60 / self.able(zone)
 
-    def _tell(self) -> dict[str, list[Teller]]:
+    def _tell(self) -> dict[str, list[RelayReport]]:
         """What relays of each zone say, from now on for a second."""
-        told: dict[str, list[Teller]] = {}
+        told: dict[str, list[RelayReport]] = {}
         for zone in self.names:
             told[zone] = []
             for number in range(self.relays):
@@ -191,7 +191,7 @@
                     load = self.load_of(other) * (0.95 + 0.1 * self.chance.random())
                     if liar is not None:
                         load, reach = 9.9, False
-                    sights[other] = Sight(
+                    sights[other] = ZoneObservation(
                         int(self.boxes[other]) if reach else 0,
                         load if reach else 0.0,
                         0.0 if reach else 1.0,
@@ -199,26 +199,26 @@
                         SECOND,
                     )
                 total = sum(self.tunnels[zone, other] for other in self.names)
-                told[zone].append(Teller(zone, round(total / self.relays), sights))
+                told[zone].append(RelayReport(zone, round(total / self.relays), sights))
         return told
 
     def zone_of(self, voter: int) -> str:
         return self.names[voter % len(self.names)]
 
-    def _tellers(self, voter: int) -> list[Teller]:
+    def _tellers(self, voter: int) -> list[RelayReport]:
         zone = self.zone_of(voter)
         return [teller for other in self.names if self.speaks(other, zone) for teller in self.told[other]]
 
     def _agrees(self, voter: int, value: bytes) -> bool:
         plan = msgspec.msgpack.decode(value, type=Plan)
-        return self.planners[voter].agrees(self.world.now, plan, self._tellers(voter))
+        return self.planners[voter].approves(self.world.now, plan, self._tellers(voter))
 
     def _look(self, voter: int) -> None:
         self.world.after(LOOKS, self._look, voter)
         seat, zone = self.register.places[voter], self.zone_of(voter)
         if seat.machine is None or self._on("dead", zone):
             return
-        plan = self.planners[voter].look(self.world.now, self._tellers(voter))
+        plan = self.planners[voter].propose_change(self.world.now, self._tellers(voter))
         if plan is None:
             # What was seen a while ago must not be taken once a cut heals.
             seat.voter.withdraw()
@@ -232,7 +232,7 @@
         if number not in self.plans:
             self.plans[number] = plan
             self.check(plan, before)
-            self.history.append((self.world.now / SECOND, number, plan.why))
+            self.history.append((self.world.now / SECOND, number, plan.reason))
             for row in plan.zones:
                 was = before.state(row.zone) if before is not None else State.OPEN
                 self.directions[row.zone] += (was in (State.CLOSED, State.LIMITED)) != (
@@ -240,7 +240,7 @@
                 )
                 if self.decided is None and row.state is not State.OPEN:
                     self.decided = (self.world.now - min(row.start for row in self.troubles)) / SECOND
-        self.planners[voter].holds(self.world.now, plan)
+        self.planners[voter].adopt(self.world.now, plan)
         for zone in self.names:
             if self.speaks(self.zone_of(voter), zone):
                 self.world.after(self.chance.randrange(300 * MS), self._hears, zone, number)
@@ -255,8 +255,8 @@
         if all(row.state is State.CLOSED for row in plan.zones):
             raise BrokenError("a plan closes all")
         for row in plan.zones:
-            if sum(row.shares) + row.refused != 100 or min(*row.shares, row.refused) < 0:
-                raise BrokenError(f"{row.zone}: {row.shares} and {row.refused} are no whole")
+            if sum(row.shares) + row.rejected != 100 or min(*row.shares, row.rejected) < 0:
+                raise BrokenError(f"{row.zone}: {row.shares} and {row.rejected} are no whole")
             for other, share in zip(names, row.shares, strict=True):
                 if share and plan.state(other) is State.CLOSED:
                     raise BrokenError(f"{other} is closed and has {share} of {row.zone}")
@@ -284,7 +284,7 @@
                 break
             if self.world.now > over + AGREE:
                 raise BrokenError(
-                    f"{AGREE // SECOND} s after the last fault {self.follows}, {plan and plan.why}"
+                    f"{AGREE // SECOND} s after the last fault {self.follows}, {plan and plan.reason}"
                 )
         self.agreed = (self.world.now - over) / SECOND
         return self
--- a/cedarledge/operator/file.py
+++ b/cedarledge/operator/file.py
@@ -67,7 +67,7 @@
         if not self.on:
             return
         # Only here: a relay without peers needs nothing of theirs.
-        from cedarledge.peers.messages import near
+        from cedarledge.peers.messages import parse_private_address
 
         if not self.fleet:
             raise ValueError("fleet: missing, and peers are on")
@@ -76,7 +76,7 @@
         for name, addresses in (("listen", (self.listen,)), ("told", (self.told,)), ("seeds", self.seeds)):
             for address in filter(None, addresses):
                 try:
-                    near(address)
+                    parse_private_address(address)
                 except ValueError as why:
                     expected = "an IPv4 address and a port, loopback or private"
                     raise ValueError(f"{name}: expected {expected}, got {address!r}: {why}") from why
--- a/cedarledge/peers/staff.py
+++ b/cedarledge/peers/command.py
@@ -12,37 +12,46 @@
 
 from cedarledge.operator.file import PeersTable, read_operator_file
 from cedarledge.operator.tables import BadFileError
-from cedarledge.peers.messages import FORMAT, Kind, Message, Row, View, decode_view, encode, near
+from cedarledge.peers.messages import (
+    FORMAT,
+    Kind,
+    Message,
+    Row,
+    View,
+    decode_view,
+    encode,
+    parse_private_address,
+)
 
-TRIES, WAIT = 4, 0.5
-NO_ANSWER, UNUSABLE = 1, 2
+MAX_TRIES, ANSWER_TIMEOUT_S = 4, 0.5
+EXIT_NO_ANSWER, EXIT_UNUSABLE_FILE = 1, 2
 
 
 class NoAnswerError(Exception):
     """The relay did not answer."""
 
 
-def view_of(table: PeersTable) -> View:
+def fetch_view(table: PeersTable) -> View:
     """The whole view of the relay that listens where the table says. Raises NoAnswerError."""
-    target = near(table.listen)
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as link:
-        link.settimeout(WAIT)
-        link.bind((target[0], 0))
+    target = parse_private_address(table.listen)
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
+        udp_socket.settimeout(ANSWER_TIMEOUT_S)
+        udp_socket.bind((target[0], 0))
         rows: list[Row] = []
         while True:
-            part = _ask(link, target, table, len(rows))
+            part = _request_part(udp_socket, target, table, len(rows))
             rows += part.rows
             if not part.rows or len(rows) >= part.total:
                 return msgspec.structs.replace(part, rows=rows)
 
 
-def _ask(link: socket.socket, target: tuple[str, int], table: PeersTable, first: int) -> View:
-    own = "{}:{}".format(*link.getsockname())
-    asked = encode(Message(FORMAT, table.fleet, Kind.SHOW, "staff", own, 0, 0, first))
-    for _ in range(TRIES):
-        link.sendto(asked, target)
+def _request_part(udp_socket: socket.socket, target: tuple[str, int], table: PeersTable, first: int) -> View:
+    own = "{}:{}".format(*udp_socket.getsockname())
+    request = encode(Message(FORMAT, table.fleet, Kind.SHOW, "staff", own, 0, 0, first))
+    for _ in range(MAX_TRIES):
+        udp_socket.sendto(request, target)
         try:
-            part = decode_view(link.recv(65536))
+            part = decode_view(udp_socket.recv(65536))
         except (TimeoutError, ConnectionError, msgspec.MsgspecError):
             continue
         if part.first == first:
@@ -52,7 +61,7 @@
     )
 
 
-def table_of(view: View) -> str:
+def format_table(view: View) -> str:
     lines = [f"{'name':20} {'zone':12} {'state':9} {'for':>9} {'inc.':>5} {'program':10} {'relay':8} address"]
     for row in view.rows:
         told = row.told
@@ -79,21 +88,23 @@
     except BadFileError as why:
         for problem in why.problems:
             click.echo(f"cedarledge: {problem}", err=True)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_UNUSABLE_FILE)
     while True:
         try:
-            view = view_of(table)
-            click.echo(json.dumps(msgspec.to_builtins(_named(view))) if as_json else table_of(view))
+            view = fetch_view(table)
+            click.echo(
+                json.dumps(msgspec.to_builtins(_to_json_object(view))) if as_json else format_table(view)
+            )
         except (NoAnswerError, OSError) as why:
             click.echo(f"cedarledge: {why}", err=True)
             if not watch:
-                sys.exit(NO_ANSWER)
+                sys.exit(EXIT_NO_ANSWER)
         if not watch:
             return
         time.sleep(1)
 
 
-def _named(view: View) -> dict[str, object]:
+def _to_json_object(view: View) -> dict[str, object]:
     """With names: structs are arrays on the wire, which staff should not have to count."""
     told = msgspec.structs.asdict(view)
     return told | {"rows": [msgspec.structs.asdict(row) for row in view.rows]}
--- a/cedarledge/peers/messages.py
+++ b/cedarledge/peers/messages.py
@@ -15,24 +15,24 @@
 from msgspec import Meta
 
 # The oldest format that is understood, and the one that is spoken.
-OLDEST, FORMAT = 1, 1
+OLDEST_FORMAT, FORMAT = 1, 1
 # A datagram's bytes: within one packet everywhere, tunnels of networks included.
-LARGEST = 1200
+MAX_DATAGRAM_BYTES = 1200
 # Incarnations and counts wrap here; see newer().
-WRAP = 1 << 32
+COUNTER_MODULUS = 1 << 32
 # What a relay may tell of itself, all fields together, encoded.
-LARGEST_RECORD = 480
+MAX_METADATA_BYTES = 480
 
 # Plain characters of one byte each: a name's length is its size in a datagram.
-PLAIN = "^[ -~]*$"
-Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=PLAIN)]
+PRINTABLE_ASCII = "^[ -~]*$"
+Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=PRINTABLE_ASCII)]
 Address = Annotated[str, Meta(max_length=21)]  # dotted IPv4 and a port
-Count = Annotated[int, Meta(ge=0, lt=WRAP)]
+WrappingCounter = Annotated[int, Meta(ge=0, lt=COUNTER_MODULUS)]
 FieldName = Annotated[str, Meta(min_length=1, max_length=24)]
 # Numbers of every sort before text: a value is one of few plain things.
-Value = bool | int | float | Annotated[str, Meta(max_length=64)]
+MetadataValue = bool | int | float | Annotated[str, Meta(max_length=64)]
 # What a relay tells of itself: a value for each name, and the teller's own count when it told it.
-Told = Annotated[dict[FieldName, tuple[Count, Value]], Meta(max_length=24)]
+Metadata = Annotated[dict[FieldName, tuple[WrappingCounter, MetadataValue]], Meta(max_length=24)]
 
 
 class State(IntEnum):
@@ -54,16 +54,16 @@
     SHOW = 6  # staff: the view from row `number` on
 
 
-class News(msgspec.Struct, array_like=True, frozen=True):
+class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
     """One member, as somebody holds it to be."""
 
     name: Name
     address: Address
-    life: Annotated[int, Meta(ge=0, lt=1 << 62)]  # drawn at the start of its process
-    incarnation: Count
+    instance_id: Annotated[int, Meta(ge=0, lt=1 << 62)]  # drawn at the start of its process
+    incarnation: WrappingCounter
     state: State
-    by: Annotated[str, Meta(max_length=64, pattern=PLAIN)] = ""  # who suspects it
-    told: Told = {}
+    accuser: Annotated[str, Meta(max_length=64, pattern=PRINTABLE_ASCII)] = ""  # who suspects it
+    metadata: Metadata = {}
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
@@ -74,13 +74,13 @@
     kind: Kind
     name: Name
     address: Address
-    life: Annotated[int, Meta(ge=0, lt=1 << 62)]
-    incarnation: Count
-    number: Count = 0
-    target: Annotated[str, Meta(max_length=64, pattern=PLAIN)] = ""
-    at: Address = ""
+    instance_id: Annotated[int, Meta(ge=0, lt=1 << 62)]
+    incarnation: WrappingCounter
+    number: WrappingCounter = 0
+    target: Annotated[str, Meta(max_length=64, pattern=PRINTABLE_ASCII)] = ""
+    target_address: Address = ""
     digest: Annotated[int, Meta(ge=0, lt=1 << 62)] = 0
-    news: Annotated[list[News], Meta(max_length=64)] = []
+    updates: Annotated[list[MemberUpdate], Meta(max_length=64)] = []
 
 
 class Row(msgspec.Struct, array_like=True, frozen=True):
@@ -91,7 +91,7 @@
     state: str
     for_ms: int
     incarnation: int
-    told: dict[str, Value]
+    told: dict[str, MetadataValue]
 
 
 class View(msgspec.Struct, array_like=True, frozen=True):
@@ -113,31 +113,33 @@
 decode_view = msgspec.msgpack.Decoder(View).decode
 
 
-class Head(msgspec.Struct, array_like=True, frozen=True):
+class Header(msgspec.Struct, array_like=True, frozen=True):
     """The part of any message by which it is told whether the rest can be read."""
 
     format: int
     fleet: Name
 
 
-decode_head = msgspec.msgpack.Decoder(Head).decode
+decode_header = msgspec.msgpack.Decoder(Header).decode
 
 # There is no sign-in, so nothing is heard from or sent to anywhere but these.
-NEAR = tuple(IPv4Network(net) for net in ("127.0.0.0/8", "10.0.0.0/8", "172.16.0.0/12", "192.168.0.0/16"))
+PRIVATE_NETWORKS = tuple(
+    IPv4Network(net) for net in ("127.0.0.0/8", "10.0.0.0/8", "172.16.0.0/12", "192.168.0.0/16")
+)
 
 
 @lru_cache(maxsize=8192)
-def near(address: str) -> tuple[str, int]:
+def parse_private_address(address: str) -> tuple[str, int]:
     """Host and port of a loopback or private address. Raises ValueError for any other."""
     host, _, port = address.rpartition(":")
     found = IPv4Address(host)
     if not port.isdecimal() or not 0 < int(port) < 65536:
         raise ValueError(f"no port: {address!r}")
-    if not any(found in net for net in NEAR):
+    if not any(found in net for net in PRIVATE_NETWORKS):
         raise ValueError(f"neither loopback nor private: {address!r}")
     return host, int(port)
 
 
-def newer(one: int, other: int) -> bool:
+def is_newer(one: int, other: int) -> bool:
     """Of two counts that wrap, whether `one` is the later: less than half of the way round ahead."""
-    return 0 < (one - other) % WRAP < WRAP // 2
+    return 0 < (one - other) % COUNTER_MODULUS < COUNTER_MODULUS // 2
--- a/cedarledge/peers/shell.py
+++ b/cedarledge/peers/shell.py
@@ -9,19 +9,19 @@
 
 from loguru import logger
 
-from cedarledge.peers.machine import Peers
-from cedarledge.peers.messages import LARGEST, State, Value, near
+from cedarledge.peers.machine import Membership
+from cedarledge.peers.messages import MAX_DATAGRAM_BYTES, MetadataValue, State, parse_private_address
 from cedarledge.terms import MS, SECOND
 
 # Datagrams read in one go, and how long the rest waits then: a flood at this port costs a bounded part of the
 # reactor's time, and what the system can't keep meanwhile is lost, as datagrams are. 1,600 a second are read.
-AT_ONCE, PAUSE = 16, 10 * MS
+MAX_READS_AT_ONCE, READ_PAUSE = 16, 10 * MS
 # The port may be held by the process before this one, which ends soon.
-BIND_AGAIN = SECOND
+BIND_RETRY_INTERVAL = SECOND
 # How often the machine is told of what this relay says of itself.
-TELL_EVERY = 500 * MS
+METADATA_POLL_INTERVAL = 500 * MS
 # So many lines about the view in each span; more are counted.
-MOST_LINES, SPAN = 40, 10 * SECOND
+MAX_LOG_LINES, LOG_WINDOW = 40, 10 * SECOND
 EVENTS = {
     State.ALIVE: "peers.back",
     State.SUSPECT: "peers.suspected",
@@ -42,49 +42,49 @@
     """Hosts one machine (machine.PeersHost). It owns the socket, which `leave` gives back."""
 
     def __init__(
-        self, reactor: Any, timers: Timers, listen: str, tells: Callable[[], dict[str, Value]]
+        self, reactor: Any, timers: Timers, listen: str, read_metadata: Callable[[], dict[str, MetadataValue]]
     ) -> None:
         """`tells` gives what the relay says of itself; `urgent` among it is told at once. `join` starts
         it."""
         self.reactor = reactor
         self.timers = timers
-        self.listen = near(listen)
-        self.tells = tells
-        self.machine: Peers
+        self.listen = parse_private_address(listen)
+        self.read_metadata = read_metadata
+        self.machine: Membership
         self._socket: socket.socket | None = None
-        self._complained = False
-        self._lines = 0
-        self._over = False
+        self._bind_failure_logged = False
+        self._lines_logged = 0
+        self._closed = False
 
-    def join(self, machine: Peers) -> None:
+    def join(self, machine: Membership) -> None:
         self.machine = machine
         self._bind()
 
     def _bind(self) -> None:
-        if self._over:
+        if self._closed:
             return
-        link = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        link.setblocking(False)
+        udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        udp_socket.setblocking(False)
         try:
-            link.bind(self.listen)
+            udp_socket.bind(self.listen)
         except OSError as why:
-            link.close()
-            if not self._complained:
+            udp_socket.close()
+            if not self._bind_failure_logged:
                 logger.warning(
                     "peers: {}:{} can't be had, tried again each second: {}", *self.listen, why.strerror
                 )
-            self._complained = True
-            self.timers.after(BIND_AGAIN, self._bind)
+            self._bind_failure_logged = True
+            self.timers.after(BIND_RETRY_INTERVAL, self._bind)
             return
-        self._socket = link
+        self._socket = udp_socket
         logger.info("peers: on as {} at {}:{}", self.machine.name, *self.listen)
         self.machine.start(self.timers.now())
-        self._tell()
+        self._update_metadata()
         self.reactor.addReader(self)
 
     def leave(self) -> None:
         """Says goodbye and gives the socket back; for the end of the process."""
-        self._over = True
+        self._closed = True
         if self._socket is None:
             return
         self.machine.leave(self.timers.now())
@@ -92,14 +92,14 @@
         self._socket.close()
         self._socket = None
 
-    def _tell(self) -> None:
-        if self._over:
+    def _update_metadata(self) -> None:
+        if self._closed:
             return
-        self.timers.after(TELL_EVERY, self._tell)
-        told = self.tells()
+        self.timers.after(METADATA_POLL_INTERVAL, self._update_metadata)
+        metadata = self.read_metadata()
         now = self.timers.now()
-        self.machine.tell_at_once(now, state=told.pop("state"))
-        self.machine.tell(now, **told)
+        self.machine.publish_metadata(now, state=metadata.pop("state"))
+        self.machine.set_metadata(now, **metadata)
 
     # -- what the reactor calls --------------------------------------------------------------------
 
@@ -114,10 +114,10 @@
 
     def doRead(self) -> None:  # noqa: N802
         assert self._socket is not None
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_READS_AT_ONCE):
             try:
                 # One byte more tells what is too long from what just fits.
-                data = self._socket.recv(LARGEST + 1)
+                data = self._socket.recv(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:
@@ -131,9 +131,9 @@
             if self._socket is None:
                 return
         self.reactor.removeReader(self)
-        self.timers.after(PAUSE, self._read_on)
+        self.timers.after(READ_PAUSE, self._resume_reading)
 
-    def _read_on(self) -> None:
+    def _resume_reading(self) -> None:
         if self._socket is not None:
             self.reactor.addReader(self)
 
@@ -143,36 +143,36 @@
         if self._socket is None:
             return
         try:
-            self._socket.sendto(data, near(address))
+            self._socket.sendto(data, parse_private_address(address))
         except OSError:
             # A full buffer or no way there: a lost datagram, which the machine reckons with.
             return
 
-    def wake(self, delay: int, token: int) -> None:
-        self.timers.after_reading(delay, self._woke, token)
+    def set_timer(self, delay: int, token: int) -> None:
+        self.timers.after_reading(delay, self._timer_expired, token)
 
-    def _woke(self, token: int) -> None:
-        if not self._over:
-            self.machine.woke(self.timers.now(), token)
+    def _timer_expired(self, token: int) -> None:
+        if not self._closed:
+            self.machine.timer_expired(self.timers.now(), token)
 
     def changed(self, name: str, before: State | None, after: State | None, why: str) -> None:
         event = "peers.forgotten" if after is None else "peers.joined" if before is None else EVENTS[after]
-        self._say(event, why, peer=name)
+        self._log_change(event, why, peer=name)
 
-    def doubled(self, address: str) -> None:
+    def name_conflict(self, address: str) -> None:
         logger.error(
             "peers: another relay of this name is alive at {}; this one keeps out of its fleet for a while",
             address,
         )
 
-    def _say(self, event: str, why: str, **fields: str) -> None:
-        if self._lines == 0:
-            self.timers.after(SPAN, self._sum_up)
-        self._lines += 1
-        if self._lines <= MOST_LINES:
+    def _log_change(self, event: str, why: str, **fields: str) -> None:
+        if self._lines_logged == 0:
+            self.timers.after(LOG_WINDOW, self._log_suppressed)
+        self._lines_logged += 1
+        if self._lines_logged <= MAX_LOG_LINES:
             logger.bind(event=event, why=why, **fields).info("{} {} ({})", event, fields["peer"], why)
 
-    def _sum_up(self) -> None:
-        more, self._lines = self._lines - MOST_LINES, 0
+    def _log_suppressed(self) -> None:
+        more, self._lines_logged = self._lines_logged - MAX_LOG_LINES, 0
         if more > 0:
-            logger.info("peers: {} more changes in {} s", more, SPAN // SECOND)
+            logger.info("peers: {} more changes in {} s", more, LOG_WINDOW // SECOND)
--- a/cedarledge/scale/candidates.py
+++ b/cedarledge/scale/candidates.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cedarledge.peers.machine import MOST_MEMBERS
+from cedarledge.peers.machine import MAX_MEMBERS
 from cedarledge.scale import assumptions, target
 from cedarledge.scale.figures import Slopes, arithmetic
 from cedarledge.scale.mechanisms import MEMBERSHIP_FILES, MISSING
@@ -67,7 +67,7 @@
             "bounded views: members over the bound",
             MEMBERSHIP_FILES,
             "at the most connections run",
-            load.members.times(1 / MOST_MEMBERS),
+            load.members.times(1 / MAX_MEMBERS),
         ),
         (
             "assignment of 64,000 shards",
--- a/cedarledge/scale/counted_relay.py
+++ b/cedarledge/scale/counted_relay.py
@@ -17,7 +17,7 @@
 
 from cedarledge import fleet
 from cedarledge.__main__ import start
-from cedarledge.peers.messages import Value
+from cedarledge.peers.messages import MetadataValue
 from cedarledge.scale.counting import CountingPeers, CountingShell, changing_load
 from cedarledge.terms import MS
 
@@ -27,7 +27,9 @@
 class _WritingShell(CountingShell):
     """Writes its counters now and then."""
 
-    def __init__(self, reactor: Any, timers: Any, listen: str, tells: Callable[[], dict[str, Value]]) -> None:
+    def __init__(
+        self, reactor: Any, timers: Any, listen: str, tells: Callable[[], dict[str, MetadataValue]]
+    ) -> None:
         super().__init__(reactor, timers, listen, lambda: tells() | changing_load())
 
     def join(self, machine: Any) -> None:
@@ -45,7 +47,7 @@
 def main() -> int:
     """Runs the relay with counters in place, and gives its exit code."""
     fleet.Shell = _WritingShell  # type: ignore[misc]
-    fleet.Peers = CountingPeers  # type: ignore[misc]
+    fleet.Membership = CountingPeers  # type: ignore[misc]
     return start(sys.argv[1])
 
 
--- a/cedarledge/scale/counting.py
+++ b/cedarledge/scale/counting.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from cedarledge.peers.machine import Peers
-from cedarledge.peers.messages import Value
+from cedarledge.peers.machine import Membership
+from cedarledge.peers.messages import MetadataValue
 from cedarledge.peers.shell import Shell
 from cedarledge.terms import MS
 
@@ -22,13 +22,13 @@
     received_bytes: int = 0
 
 
-def changing_load() -> dict[str, Value]:
+def changing_load() -> dict[str, MetadataValue]:
     """What a relay tells of its connections where they come and go all the time."""
     load = 90_000 + time.monotonic_ns() // MS % 7_000
     return {"tunnels": load, "newcomers": round(load / 1800, 1)}
 
 
-class CountingPeers(Peers):
+class CountingPeers(Membership):
     """Counts what it is handed."""
 
     def __init__(self, host: Any, *arguments: Any, **named: Any) -> None:
--- a/cedarledge/scale/hollow_worker.py
+++ b/cedarledge/scale/hollow_worker.py
@@ -20,7 +20,7 @@
 from cedarledge import __version__
 from cedarledge.net.reactor import install_reactor
 from cedarledge.net.timers import Timers, steady_clock
-from cedarledge.peers.messages import State, Value
+from cedarledge.peers.messages import MetadataValue, State
 from cedarledge.scale.counting import CountingPeers, CountingShell, Traffic, changing_load
 from cedarledge.scale.policy_host import PolicyHost
 from cedarledge.scale.process_cost import processor_ns, resident_bytes
@@ -89,7 +89,7 @@
     def _woke(self, token: int) -> None:
         self.policy.woke(self.worker.timers.now(), token)
 
-    def tells(self) -> dict[str, Value]:
+    def tells(self) -> dict[str, MetadataValue]:
         """As fleet.py, with connections that come and go."""
         return {
             "state": self.state,
@@ -107,7 +107,7 @@
     def has_heard(self, name: str) -> bool:
         """Whether it knows of the change that relay made."""
         member = self.machine.members.get(name)
-        return member is not None and member.told.get("state", (0, ""))[1] == CHANGED_STATE
+        return member is not None and member.metadata.get("state", (0, ""))[1] == CHANGED_STATE
 
 
 class Worker:
--- a/cedarledge/scale/membership.py
+++ b/cedarledge/scale/membership.py
@@ -16,8 +16,8 @@
 from cedarledge import __version__
 from cedarledge.model.peers import Fleet, Place, Trouble
 from cedarledge.model.world import Lane
-from cedarledge.peers.machine import EACH, RETELL_RECORD, Peers
-from cedarledge.peers.messages import News, State, Value, decode, encode
+from cedarledge.peers.machine import METADATA_INTERVAL, METADATA_INTERVAL_PER_MEMBER, Membership
+from cedarledge.peers.messages import MemberUpdate, MetadataValue, State, decode, encode
 from cedarledge.scale.target import REGIONS, ZONES
 from cedarledge.terms import MS, SECOND
 
@@ -58,7 +58,7 @@
         if place.peers is None or place.name in self.known:
             return
         member = place.peers.members.get(self.origin)
-        if member is not None and member.told.get("state", (0, ""))[1] == self.value:
+        if member is not None and member.metadata.get("state", (0, ""))[1] == self.value:
             self.known[place.name] = self.fleet.world.now - self.began
 
     def times(self, others: int) -> list[float]:
@@ -104,34 +104,36 @@
     """All hold the records that relays tell of themselves, which may go on changing as connections come and
     go."""
     for place in fleet.places:
-        place.peers.tell(place.now, **_record(place.number, place.number))
-    told = [place.peers.news() for place in fleet.places]
+        place.peers.set_metadata(place.now, **_record(place.number, place.number))
+    told = [place.peers.own_update() for place in fleet.places]
     for place in fleet.places:
         for news in told:
             if news.name != place.name:
-                place.peers._hear(news)
-        place.peers._news.clear()
+                place.peers._apply_update(news)
+        place.peers._broadcasts.clear()
         _retell_out_of_step(place.peers, len(told))
         if changing:
             fleet.world.after(fleet.chance.randrange(TELL_EVERY), _tell_again, fleet, place)
 
 
-def _retell_out_of_step(peers: Peers, size: int) -> None:
+def _retell_out_of_step(peers: Membership, size: int) -> None:
     """Members that start in one moment would all tell their records in the same seconds for minutes."""
-    peers._waits = {token: wait for token, wait in peers._waits.items() if wait[1] != peers._retell}
-    span = max(RETELL_RECORD, EACH * size)
-    peers._after(peers.chance.randrange(span), peers._retell)
+    peers._timers = {
+        token: wait for token, wait in peers._timers.items() if wait[1] != peers._republish_metadata
+    }
+    span = max(METADATA_INTERVAL, METADATA_INTERVAL_PER_MEMBER * size)
+    peers._schedule(peers.rng.randrange(span), peers._republish_metadata)
 
 
 def _tell_again(fleet: Fleet, place: Place) -> None:
     if place.machine is None:
         return
     load = fleet.chance.randrange(90_000, 97_000)
-    place.peers.tell(place.now, tunnels=load, newcomers=load / 1800)
+    place.peers.set_metadata(place.now, tunnels=load, newcomers=load / 1800)
     fleet.world.after(TELL_EVERY, _tell_again, fleet, place)
 
 
-def _record(number: int, load: int) -> dict[str, Value]:
+def _record(number: int, load: int) -> dict[str, MetadataValue]:
     """The fields that a relay with membership tells of itself: see fleet.py."""
     return {
         "state": "ready",
@@ -156,7 +158,7 @@
     origin = fleet.places[0]
     watch = _ChangeWatch(fleet, origin.name, "away")
     fleet.world.acted = watch.acted
-    origin.peers.tell_at_once(origin.now, state="away")
+    origin.peers.publish_metadata(origin.now, state="away")
     fleet.world.run(fleet.world.now + CHANGE_AWAITED)
     fleet.world.acted = _nothing
     return watch.times(len(fleet.places) - 1)
@@ -166,17 +168,17 @@
     """Hosts a machine that is only fed."""
 
     def send(self, address: str, data: bytes) -> None: ...
-    def wake(self, delay: int, token: int) -> None: ...
+    def set_timer(self, delay: int, token: int) -> None: ...
     def changed(self, name: str, before: State | None, after: State | None, why: str) -> None: ...
-    def doubled(self, address: str) -> None: ...
+    def name_conflict(self, address: str) -> None: ...
 
 
 def view_bytes(size: int) -> int:
     """Memory that one member's view of `size` others takes, by tracemalloc."""
-    speaker = Peers(_SilentHost(), "scale", "speaker", "10.200.0.1:7000")
-    listener = Peers(_SilentHost(), "scale", "listener", "10.200.0.2:7000")
+    speaker = Membership(_SilentHost(), "scale", "speaker", "10.200.0.1:7000")
+    listener = Membership(_SilentHost(), "scale", "listener", "10.200.0.2:7000")
     head = decode(_ping_of(speaker))
-    datagrams = [encode(msgspec.structs.replace(head, news=[_news(number)])) for number in range(size)]
+    datagrams = [encode(msgspec.structs.replace(head, updates=[_news(number)])) for number in range(size)]
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
@@ -187,7 +189,7 @@
         tracemalloc.stop()
 
 
-def _ping_of(speaker: Peers) -> bytes:
+def _ping_of(speaker: Membership) -> bytes:
     sent: list[bytes] = []
     speaker.host.send = lambda _address, data: sent.append(data)  # type: ignore[method-assign]
     speaker.seeds = ("10.200.0.2:7000",)
@@ -195,7 +197,7 @@
     return sent[0]
 
 
-def _news(number: int) -> News:
+def _news(number: int) -> MemberUpdate:
     told = {name: (1, value) for name, value in _record(number, 93_000 + number).items()}
     address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:7000"
-    return News(f"relay-{number}", address, number + 1, 0, State.ALIVE, "", told)
+    return MemberUpdate(f"relay-{number}", address, number + 1, 0, State.ALIVE, "", told)
--- a/cedarledge/scale/own_load.py
+++ b/cedarledge/scale/own_load.py
@@ -5,7 +5,7 @@
 import math
 from typing import NamedTuple
 
-from cedarledge.peers.machine import MOST_MEMBERS
+from cedarledge.peers.machine import MAX_MEMBERS
 from cedarledge.scale import assumptions, target
 from cedarledge.scale.figures import Basis, Figure, Slopes
 from cedarledge.scale.page import Table, figure_rows
@@ -106,7 +106,7 @@
         ("processes a machine at the most connections run", load.processes_by_connections),
         ("members of the fleet by processor time", load.processes_by_processor.times(target.RELAYS)),
         ("members of the fleet at the most connections run", load.members),
-        (f"members over the view's bound of {MOST_MEMBERS:,}", load.members.times(1 / MOST_MEMBERS)),
+        (f"members over the view's bound of {MAX_MEMBERS:,}", load.members.times(1 / MAX_MEMBERS)),
     )
     return Table(
         "own-load",
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,20 +12,20 @@
 from cedarledge.model.explore import CASES, explore, histories
 from cedarledge.model.peers import FAULTS, TROUBLE, BrokenError, Fleet, Trouble, play, shortest
 from cedarledge.model.world import Lane
-from cedarledge.peers.machine import MOST_FAVOURS, MOST_MEMBERS, Peers
+from cedarledge.peers.machine import MAX_MEMBERS, MAX_RELAYED_PROBES, Membership
 from cedarledge.peers.messages import (
+    COUNTER_MODULUS,
     FORMAT,
-    LARGEST,
-    LARGEST_RECORD,
-    WRAP,
+    MAX_DATAGRAM_BYTES,
+    MAX_METADATA_BYTES,
     Kind,
+    MemberUpdate,
     Message,
-    News,
     State,
     decode,
     encode,
-    near,
-    newer,
+    is_newer,
+    parse_private_address,
 )
 from cedarledge.terms import SECOND
 
@@ -39,43 +39,43 @@
         self.silenced = 0
 
     def send(self, address: str, data: bytes) -> None:
-        assert len(data) <= LARGEST
+        assert len(data) <= MAX_DATAGRAM_BYTES
         self.sent.append((address, decode(data)))
 
-    def wake(self, delay: int, token: int) -> None:
+    def set_timer(self, delay: int, token: int) -> None:
         assert delay >= 0
 
     def changed(self, name: str, before: State | None, after: State | None, why: str) -> None:
         self.changes.append((name, before, after))
 
-    def doubled(self, address: str) -> None:
+    def name_conflict(self, address: str) -> None:
         self.silenced += 1
 
 
-def one(**other: object) -> tuple[Host, Peers]:
+def one(**other: object) -> tuple[Host, Membership]:
     host = Host()
-    peers = Peers(host, "alba", "a", ME, **other)
+    peers = Membership(host, "alba", "a", ME, **other)
     peers.start(0)
     return host, peers
 
 
-def said(kind: Kind, name: str = "b", *news: News, **other: object) -> bytes:
+def said(kind: Kind, name: str = "b", *news: MemberUpdate, **other: object) -> bytes:
     told = {
         "format": FORMAT,
         "fleet": "alba",
         "name": name,
         "address": OTHER,
-        "life": 5,
+        "instance_id": 5,
         "incarnation": 0,
-        "news": list(news),
+        "updates": list(news),
     } | other
     return encode(Message(kind=kind, **told))
 
 
-@given(st.integers(0, WRAP - 1), st.integers(1, WRAP // 2 - 1))
+@given(st.integers(0, COUNTER_MODULUS - 1), st.integers(1, COUNTER_MODULUS // 2 - 1))
 def test_counts_go_on_past_their_wrap(count: int, step: int) -> None:
-    assert newer((count + step) % WRAP, count)
-    assert not newer(count, (count + step) % WRAP) and not newer(count, count)
+    assert is_newer((count + step) % COUNTER_MODULUS, count)
+    assert not is_newer(count, (count + step) % COUNTER_MODULUS) and not is_newer(count, count)
 
 
 @settings(max_examples=300)
@@ -99,18 +99,22 @@
         (4, "8.8.8.8:7", "malformed"),
         (4, "10.0.0.2", "malformed"),
         (8, "c", "misdirected"),
-        (6, WRAP, "malformed"),
+        (6, COUNTER_MODULUS, "malformed"),
     ):
         peers.received(1, encode([*good[:place], value, *good[place + 1 :]]))
         assert peers.counts[count] and not host.sent and not peers.members, (place, value)
         peers.counts[count] = 0
-    peers.received(1, said(Kind.NEWS, "b", News("c", "1.2.3.4:7", 1, 0, State.ALIVE)))
+    peers.received(1, said(Kind.NEWS, "b", MemberUpdate("c", "1.2.3.4:7", 1, 0, State.ALIVE)))
     assert peers.counts["malformed"] == 1 and not peers.members
 
 
 def test_a_newer_format_that_adds_fields_is_understood() -> None:
     host, peers = one()
-    news = [*msgspec.msgpack.decode(encode(News("c", "10.0.0.3:7", 1, 0, State.ALIVE))), "new", {"x": 1}]
+    news = [
+        *msgspec.msgpack.decode(encode(MemberUpdate("c", "10.0.0.3:7", 1, 0, State.ALIVE))),
+        "new",
+        {"x": 1},
+    ]
     good = msgspec.msgpack.decode(said(Kind.PING, target="a"))
     peers.received(1, encode([FORMAT + 1, *good[1:-1], [news], "more", 7]))
     assert sorted(peers.members) == ["b", "c"] and host.sent[0][1].kind is Kind.ACK
@@ -119,28 +123,31 @@
 def test_addresses_that_are_neither_loopback_nor_private_are_refused() -> None:
     for bad in ("8.8.8.8:7", "0.0.0.0:7", "172.32.0.1:7", "host:7", "10.0.0.1:0", "10.0.0.1:-1", "10.0.0.1"):
         with raises(ValueError):
-            near(bad)
+            parse_private_address(bad)
         with raises(ValueError):
             one(seeds=(bad,))
     assert one(seeds=(ME, OTHER))[1].seeds == (OTHER,), "a seed that is this relay itself is none"
 
 
-@given(st.permutations(range(5)), st.integers(0, WRAP - 1))
+@given(st.permutations(range(5)), st.integers(0, COUNTER_MODULUS - 1))
 def test_the_newer_of_two_fields_wins_in_whatever_order_they_come(order: list[int], first: int) -> None:
     _, peers = one()
     for turn in order:
-        told = {"tunnels": ((first + turn) % WRAP, turn), f"only-{turn}": ((first + turn) % WRAP, turn)}
-        peers.received(1, said(Kind.NEWS, "c", News("b", OTHER, 9, 0, State.ALIVE, told=told)))
-    held = {name: value for name, (_, value) in peers.members["b"].told.items()}
+        told = {
+            "tunnels": ((first + turn) % COUNTER_MODULUS, turn),
+            f"only-{turn}": ((first + turn) % COUNTER_MODULUS, turn),
+        }
+        peers.received(1, said(Kind.NEWS, "c", MemberUpdate("b", OTHER, 9, 0, State.ALIVE, metadata=told)))
+    held = {name: value for name, (_, value) in peers.members["b"].metadata.items()}
     assert held == {"tunnels": 4} | {f"only-{turn}": turn for turn in range(5)}
 
 
 def test_a_record_is_bounded_and_what_is_too_large_changes_nothing() -> None:
     _, peers = one()
-    peers.tell(1, zone="z")
+    peers.set_metadata(1, zone="z")
     with raises(ValueError, match="480 bytes"):
-        peers.tell(2, **{f"field-{number}": "x" * 60 for number in range(9)})
-    assert list(peers.told) == ["zone"]
+        peers.set_metadata(2, **{f"field-{number}": "x" * 60 for number in range(9)})
+    assert list(peers.metadata) == ["zone"]
 
 
 def test_a_teller_of_ever_new_fields_and_long_names_neither_grows_nor_hangs_an_exchange() -> None:
@@ -149,12 +156,17 @@
     for turn in range(200):
         told = {f"field-{turn}-{place}": (turn, "ä" * 64) for place in range(4)}
         peers.received(
-            1, said(Kind.NEWS, "b", News(name, OTHER, 9, 0, State.SUSPECT, by="x" * 64, told=told))
+            1,
+            said(
+                Kind.NEWS,
+                "b",
+                MemberUpdate(name, OTHER, 9, 0, State.SUSPECT, accuser="x" * 64, metadata=told),
+            ),
         )
-    assert len(encode(peers.members[name].told)) <= LARGEST_RECORD and peers.counts["too_many"] > 100
+    assert len(encode(peers.members[name].metadata)) <= MAX_METADATA_BYTES and peers.counts["too_many"] > 100
     host.sent.clear()
     peers.received(1 + SECOND, said(Kind.SYNC, "f" * 64, digest=1))
-    assert any(news.name == name for _, message in host.sent for news in message.news)
+    assert any(news.name == name for _, message in host.sent for news in message.updates)
     good = msgspec.msgpack.decode(said(Kind.PING, target="a"))
     peers.received(1, encode([*good[:3], "ä", *good[4:]]))
     nested = encode(good)
@@ -165,23 +177,30 @@
 def test_news_of_a_death_goes_before_what_members_tell_of_themselves() -> None:
     host, peers = one()
     for number in range(100):
-        peers.received(1, said(Kind.NEWS, "b", News(f"c{number}", f"10.0.1.{number}:7", 1, 0, State.ALIVE)))
-    while peers._news:
+        peers.received(
+            1, said(Kind.NEWS, "b", MemberUpdate(f"c{number}", f"10.0.1.{number}:7", 1, 0, State.ALIVE))
+        )
+    while peers._broadcasts:
         peers.received(1, said(Kind.PING, target="a"))
     for number in range(100):
         told = {"tunnels": (1, number)}
         peers.received(
-            1, said(Kind.NEWS, "b", News(f"c{number}", f"10.0.1.{number}:7", 1, 0, State.ALIVE, told=told))
+            1,
+            said(
+                Kind.NEWS,
+                "b",
+                MemberUpdate(f"c{number}", f"10.0.1.{number}:7", 1, 0, State.ALIVE, metadata=told),
+            ),
         )
-    peers.received(1, said(Kind.NEWS, "b", News("c5", "10.0.1.5:7", 1, 0, State.DEAD)))
+    peers.received(1, said(Kind.NEWS, "b", MemberUpdate("c5", "10.0.1.5:7", 1, 0, State.DEAD)))
     peers.received(1, said(Kind.PING, target="a"))
-    first = host.sent[-1][1].news[0]
+    first = host.sent[-1][1].updates[0]
     assert (first.name, first.state) == ("c5", State.DEAD)
     sent = len(host.sent)
-    while peers._news:
+    while peers._broadcasts:
         peers.received(1, said(Kind.PING, target="a"))
-    tellings = [news.name for _, message in host.sent[sent:] for news in message.news]
-    assert 0 < tellings.count("c9") <= peers._most_tellings() // 2, "half as often"
+    tellings = [news.name for _, message in host.sent[sent:] for news in message.updates]
+    assert 0 < tellings.count("c9") <= peers._max_transmissions() // 2, "half as often"
 
 
 def test_of_two_of_one_name_the_newcomer_gives_way() -> None:
@@ -196,18 +215,18 @@
 
 def test_memory_is_bounded_whoever_sends() -> None:
     host, peers = one()
-    for number in range(MOST_MEMBERS + 50):
+    for number in range(MAX_MEMBERS + 50):
         peers.received(1, said(Kind.PING, f"x{number}", target="a"))
-        peers.received(1, said(Kind.ASK, "b", target="y", at="10.0.0.9:7", number=number))
+        peers.received(1, said(Kind.ASK, "b", target="y", target_address="10.0.0.9:7", number=number))
         host.sent.clear()
         host.changes.clear()
-    assert len(peers.members) == MOST_MEMBERS and len(peers._favours) == MOST_FAVOURS
+    assert len(peers.members) == MAX_MEMBERS and len(peers._relayed_probes) == MAX_RELAYED_PROBES
     assert peers.counts["too_many"] >= 50
     # An exchange tells all there is, and not again at once for whoever repeats himself.
     for _ in range(20):
         peers.received(1 + SECOND, said(Kind.SYNC))
     exchanged = [message for _, message in host.sent if message.kind is Kind.NEWS]
-    assert MOST_MEMBERS < sum(len(message.news) for message in exchanged) < 1.1 * MOST_MEMBERS
+    assert MAX_MEMBERS < sum(len(message.updates) for message in exchanged) < 1.1 * MAX_MEMBERS
 
 
 @mark.parametrize("members,seeds", [(3, range(40)), (5, range(100, 130)), (9, range(12))])
@@ -220,7 +239,9 @@
 def test_each_trouble_ends_in_one_true_view(kind: str) -> None:
     # Counts wrap while it lasts.
     who = (0, 1, 2) if kind in ("halves", "one_way") else (2,)
-    fleet = Fleet(6, 4, [Trouble(kind, TROUBLE, TROUBLE + 12 * SECOND, who)], incarnation=WRAP - 1).run()
+    fleet = Fleet(
+        6, 4, [Trouble(kind, TROUBLE, TROUBLE + 12 * SECOND, who)], incarnation=COUNTER_MODULUS - 1
+    ).run()
     if kind in ("loss", "slow", "restart", "all_anew"):
         assert fleet.false_deaths == 0
     if kind == "kill":
@@ -236,11 +257,11 @@
     trouble = Trouble("churn", TROUBLE, TROUBLE + 30 * SECOND, (4,))
     fleet = Fleet(100, 1, [trouble], Lane(loss=0.05)).run()
     assert fleet.false_deaths == 0 and max(fleet.detected) < 12 * SECOND
-    assert max(place.largest for place in fleet.places) <= LARGEST
+    assert max(place.largest for place in fleet.places) <= MAX_DATAGRAM_BYTES
 
 
 def test_a_machine_that_never_refutes_is_caught_with_a_short_history(monkeypatch) -> None:
-    monkeypatch.setattr(Peers, "_hear_of_me", lambda *_: None)
+    monkeypatch.setattr(Membership, "_apply_own_update", lambda *_: None)
     troubles = (
         Trouble("halves", TROUBLE, TROUBLE + 12 * SECOND, (0, 1)),
         Trouble("restart", TROUBLE, TROUBLE + SECOND, (3,)),
@@ -262,7 +283,7 @@
     accuser, accused = fleet.places[4].peers, fleet.places[7]
 
     def fate(source: str, target: str, data: bytes) -> list[int] | None:
-        about = any(news.name == accused.name for news in decode(data).news)
+        about = any(news.name == accused.name for news in decode(data).updates)
         return [] if target == accuser.address and source != accused.address and about else None
 
     fleet.world.fate = fate
@@ -283,7 +304,7 @@
     assert (
         done.exit_code == 0 and (told["seeds"], told["broken"]) == (3, 0) and told["bytes_per_s"]["p50"] > 0
     )
-    monkeypatch.setattr(Peers, "_hear_of_me", lambda *_: None)
+    monkeypatch.setattr(Membership, "_apply_own_update", lambda *_: None)
     done = CliRunner().invoke(model, arguments)
     assert done.exit_code == 1 and "seed 1: " in done.output and "  halves from " in done.output
     assert "BROKEN" in done.output
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -21,8 +21,8 @@
 from test_handover import Pair
 
 from cedarledge.operator.file import read_operator_file
+from cedarledge.peers.command import NoAnswerError, fetch_view
 from cedarledge.peers.messages import FORMAT, Kind, Message, encode
-from cedarledge.peers.staff import NoAnswerError, view_of
 
 SOURCE = Path(__file__).parents[1]
 FILE = '[peers]\non = true\nfleet = "t"\nlisten = "{}"\nseeds = [{}]\n[log]\nform = "json"\n'
@@ -61,7 +61,7 @@
         return {}
 
     def rows(self, place: int) -> list:
-        return view_of(read_operator_file(next(self.folder.glob(f"{place}-*")) / "file").peers).rows
+        return fetch_view(read_operator_file(next(self.folder.glob(f"{place}-*")) / "file").peers).rows
 
     def all_see(self, *expected: str) -> bool:
         """Everybody's view is these, all alive, and nobody else there."""
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -7,7 +7,16 @@
 from hypothesis import strategies as st
 from pytest import approx, mark
 
-from cedarledge.failover.plans import HEADROOM, Plan, Planner, Sight, State, Teller, followed, spread
+from cedarledge.failover.plans import (
+    HEADROOM,
+    Plan,
+    Planner,
+    RelayReport,
+    State,
+    ZoneObservation,
+    assign_traffic,
+    routing_weights,
+)
 from cedarledge.model.zones import Fleet, Trouble, play
 from cedarledge.terms import SECOND
 
@@ -19,14 +28,14 @@
     relays: int = 3,
     failing: dict[str, tuple[str, ...]] | None = None,
     silent: tuple[str, ...] = (),
-) -> list[Teller]:
+) -> list[RelayReport]:
     """Relays of each zone with ten boxes each; `failing`: which zones those of a zone see fail."""
     told = []
     for zone in REGIONS:
         for _ in range(relays if zone not in silent else 0):
             bad = (failing or {}).get(zone, ())
             sights = {
-                other: Sight(
+                other: ZoneObservation(
                     0 if other in bad else 10,
                     0.0 if other in bad else load,
                     float(other in bad),
@@ -35,18 +44,18 @@
                 )
                 for other in REGIONS
             }
-            told.append(Teller(zone, 100, sights))
+            told.append(RelayReport(zone, 100, sights))
     return told
 
 
-def planned(told: list[Teller], planner: Planner | None = None, seconds: int = 4) -> Plan:
+def planned(told: list[RelayReport], planner: Planner | None = None, seconds: int = 4) -> Plan:
     """What holds after so long, where each plan is taken at once."""
     planner = planner or Planner(REGIONS)
     for turn in range(seconds * 4):
         now = (turn + 8) * SECOND // 4
-        plan = planner.look(now, told)
+        plan = planner.propose_change(now, told)
         if plan is not None:
-            planner.holds(now, plan)
+            planner.adopt(now, plan)
     return planner.plan
 
 
@@ -63,10 +72,10 @@
     assert [row.state for row in plan.zones] == [State.OPEN, State.CLOSED, State.OPEN]
     # Of five boxes' worth three go to the near zone, up to its headroom, and two to the far one.
     assert (plan.share("b", "a"), plan.share("b", "b"), plan.share("b", "c")) == (60, 0, approx(40, abs=1))
-    assert "b closed: gone, 0 ready" in plan.why
+    assert "b closed: gone, 0 ready" in plan.reason
     full = planned(tellers(0.75, failing=DEAD_B))
     row = full.zones[1]
-    assert row.refused == 100 - sum(row.shares) > 80 and full.share("a", "a") == 100, (
+    assert row.rejected == 100 - sum(row.shares) > 80 and full.share("a", "a") == 100, (
         "near traffic goes first"
     )
 
@@ -86,7 +95,7 @@
 
 def test_one_relay_alone_closes_nothing_and_one_cut_off_plans_nothing() -> None:
     told = tellers()
-    told[0] = Teller("a", 100, {zone: Sight(0, 9.9, 1.0, 0, 0) for zone in REGIONS})
+    told[0] = RelayReport("a", 100, {zone: ZoneObservation(0, 9.9, 1.0, 0, 0) for zone in REGIONS})
     assert planned(told) == Planner(REGIONS).plan
     assert planned(tellers(failing={"a": ("b", "c")}, silent=("b", "c"))) == Planner(REGIONS).plan
     every = dict.fromkeys(REGIONS, tuple(REGIONS))
@@ -96,7 +105,7 @@
 def test_old_sights_say_nothing_and_pins_go_before_what_is_seen() -> None:
     old = [
         teller._replace(
-            sights={zone: sight._replace(age=9 * SECOND) for zone, sight in teller.sights.items()}
+            observations={zone: sight._replace(age=9 * SECOND) for zone, sight in teller.observations.items()}
         )
         for teller in tellers(failing=DEAD_B)
     ]
@@ -110,14 +119,14 @@
     times = []
     now = 0
 
-    def until(wanted: State, told: list[Teller]) -> int:
+    def until(wanted: State, told: list[RelayReport]) -> int:
         nonlocal now
         start = now
         while planner.plan.state("b") is not wanted:
             now += SECOND // 4
-            plan = planner.look(now, told)
+            plan = planner.propose_change(now, told)
             if plan is not None:
-                planner.holds(now, plan)
+                planner.adopt(now, plan)
             assert now - start < 100 * SECOND
         return now - start
 
@@ -130,14 +139,14 @@
 
 def test_own_evidence_goes_before_a_plan_and_a_voter_speaks_against_what_it_does_not_see() -> None:
     plan = planned(tellers(0.5, failing=DEAD_B))
-    assert followed(plan, "b", ()) == approx({"a": 0.6, "c": 0.4}, abs=0.02)
-    assert followed(plan, "b", {"a"}) == {"c": 1.0} and followed(plan, "b", {"a", "c"}) == {}
-    assert followed(plan, "d", ()) == {}
-    assert Planner(REGIONS).agrees(SECOND, plan, tellers(failing=DEAD_B))
-    assert not Planner(REGIONS).agrees(SECOND, plan, tellers())
+    assert routing_weights(plan, "b", ()) == approx({"a": 0.6, "c": 0.4}, abs=0.02)
+    assert routing_weights(plan, "b", {"a"}) == {"c": 1.0} and routing_weights(plan, "b", {"a", "c"}) == {}
+    assert routing_weights(plan, "d", ()) == {}
+    assert Planner(REGIONS).approves(SECOND, plan, tellers(failing=DEAD_B))
+    assert not Planner(REGIONS).approves(SECOND, plan, tellers())
     other = Planner({"a": "north", "b": "north"})
-    other.holds(SECOND, plan)
-    assert other.plan == other.first(), "a plan about other zones is not followed"
+    other.adopt(SECOND, plan)
+    assert other.plan == other.initial_plan(), "a plan about other zones is not followed"
 
 
 AMOUNTS = st.lists(st.floats(0, 50), min_size=3, max_size=3)
@@ -149,7 +158,7 @@
 ) -> None:
     demand, room = (dict(zip(REGIONS, row, strict=True)) for row in (demands, rooms))
     own = {zone: min(amount, room[zone]) for zone, amount in zip(REGIONS, owns, strict=True)}
-    carried, _ = spread(demand, room, own, REGIONS)
+    carried, _ = assign_traffic(demand, room, own, REGIONS)
     for zone in REGIONS:
         assert sum(carried[zone].values()) <= demand[zone] + 1e-6
         assert sum(row.get(zone, 0.0) for row in carried.values()) <= room[zone] + 1e-6
--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from pytest import mark, raises
 
-from cedarledge.failover.votes import LARGEST_VALUE, NONE, Kind, Vote, Voter, encode
+from cedarledge.failover.votes import MAX_VALUE_BYTES, NO_BALLOT, Kind, Voter, VoterMessage, encode
 from cedarledge.model.votes import Register, explore, play
 from cedarledge.terms import SECOND
 
@@ -15,15 +15,15 @@
 class Forgetful(Voter):
     """Votes at once, whatever it may have promised before."""
 
-    def _ask_where(self) -> None:
+    def _ask_status(self) -> None:
         self.floor = max(0, self.floor)
 
 
 class Headstrong(Voter):
     """Takes its own value where another may have been taken already."""
 
-    def _promise(self, vote: Vote) -> None:
-        super()._promise(msgspec.structs.replace(vote, held=NONE, value=b""))
+    def _handle_promise(self, vote: VoterMessage) -> None:
+        super()._handle_promise(msgspec.structs.replace(vote, accepted_ballot=NO_BALLOT, value=b""))
 
 
 @mark.parametrize("count,seeds", [(3, 60), (5, 25), (7, 8)])
@@ -79,12 +79,12 @@
     register.end(2, False)
     register.start(2)
     register.world.run(8 * SECOND)
-    number, voter = register.places[0].voter.number, register.places[2].voter
-    assert voter.number == number and voter.floor == number + 1
+    number, voter = register.places[0].voter.chosen_slot, register.places[2].voter
+    assert voter.chosen_slot == number and voter.floor == number + 1
     register.propose(0)
     register.propose(1)
     register.world.run(20 * SECOND)
-    assert voter.number >= number + 2 and len(register.values) == 3
+    assert voter.chosen_slot >= number + 2 and len(register.values) == 3
 
 
 class Quiet:
@@ -96,16 +96,16 @@
     def send(self, place: int, data: bytes) -> None:
         self.sent.append(data)
 
-    def wake(self, delay: int, token: int) -> None:
+    def set_timer(self, delay: int, token: int) -> None:
         pass
 
-    def keep(self, memory: bytes) -> None:
+    def persist(self, memory: bytes) -> None:
         self.memory = memory
 
-    def agrees(self, value: bytes) -> bool:
+    def approves(self, value: bytes) -> bool:
         return False
 
-    def held(self, number: int, value: bytes) -> None:
+    def chosen(self, number: int, value: bytes) -> None:
         pass
 
 
@@ -125,12 +125,12 @@
     host = Quiet()
     voter = Voter(host, 0, 3, 1)
     voter.floor = 0
-    voter.received(encode(Vote(1, Kind.PREPARE, 1, 7, 1, (4, 1))))
+    voter.received(encode(VoterMessage(1, Kind.PREPARE, 1, 7, 1, (4, 1))))
     again = Voter(Quiet(), 0, 3, 2, memory=host.memory)
-    again.received(encode(Vote(1, Kind.PREPARE, 2, 8, 1, (3, 2))))
+    again.received(encode(VoterMessage(1, Kind.PREPARE, 2, 8, 1, (3, 2))))
     assert (again.promised, again.floor) == ((4, 1), 0)
-    assert Kind(msgspec.msgpack.decode(again.host.sent[-1])[1]) is Kind.REFUSE
+    assert Kind(msgspec.msgpack.decode(again.host.sent[-1])[1]) is Kind.NACK
     with raises(ValueError, match="3, 5 or 7"):
         Voter(host, 0, 4, 1)
-    with raises(ValueError, match=str(LARGEST_VALUE)):
-        voter.propose(b"x" * (LARGEST_VALUE + 1))
+    with raises(ValueError, match=str(MAX_VALUE_BYTES)):
+        voter.propose(b"x" * (MAX_VALUE_BYTES + 1))
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -17,7 +17,7 @@
 
 from cedarledge.net.timers import Timers
 from cedarledge.operator.tables import BadFileError, read_tables
-from cedarledge.peers.shell import MOST_LINES, Shell
+from cedarledge.peers.shell import MAX_LOG_LINES, Shell
 from cedarledge.rig.scenario import Scenario, Zones, load_scenario, without_operator
 from cedarledge.rig.schedule import plan_of
 from cedarledge.standins.lanes import Lanes
@@ -184,8 +184,8 @@
     lines: list[str] = []
     number = logger.add(lines.append, format="{message}")
     shell = Shell(None, timers, "127.0.0.1:7", dict)
-    for name in range(MOST_LINES + 60):
+    for name in range(MAX_LOG_LINES + 60):
         shell.changed(f"n{name}", None, None, "x")
     clock.advance(11)
     logger.remove(number)
-    assert len(lines) == MOST_LINES + 1 and "60 more changes" in lines[-1]
+    assert len(lines) == MAX_LOG_LINES + 1 and "60 more changes" in lines[-1]
