--- a/cedarledge/fleet.py
+++ b/cedarledge/fleet.py
@@ -1,5 +1,7 @@
-"""Joins what relays do in common to one relay. Reached only from `cedarledge relay --file`, and only by an
-operator file that has something on; `run` has no way here."""
+"""Starts the optional features of a relay that work across the fleet.
+
+Imported only by `cedarledge relay --file`, and only if the operator file enables one; `run` never imports it.
+"""
 
 from __future__ import annotations
 
@@ -21,23 +23,26 @@
 from cedarledge.peers.shell import Shell
 from cedarledge.terms import MS, SECOND
 
-# In the platform's settings these differ from relay to relay of one fleet.
+# Settings of the platform that differ between the relays of one fleet.
 PER_RELAY_SETTINGS = ("me", "zone")
-# Over how long newcomers are counted.
+# Requests are counted over windows of this length.
 RATE_WINDOW = 4 * SECOND
 
 
 class ArrivalRate(Hearer):
-    """How many come in a second, over the last whole span."""
+    """Client requests per second, over the last complete window."""
 
     def __init__(self) -> None:
+        """Starts at a rate of 0; the first window begins with the first `read`."""
         self._since = self._count = 0
         self.rate = 0.0
 
     def arrived(self, now: int, tun: int, profile: int, returning: bool) -> None:
+        """Counts a request."""
         self._count += 1
 
     def read(self, now: int) -> float:
+        """Returns requests per second. Closes the window once it is long enough; `now` is ns."""
         span = now - self._since
         if span >= RATE_WINDOW:
             self.rate = round(self._count * SECOND / span, 1) if self._since else 0.0
@@ -46,28 +51,33 @@
 
 
 def settings_digest(settings: dict[str, Any]) -> str:
-    """Equal for relays that were told the same."""
-    told = {name: value for name, value in settings.items() if name not in PER_RELAY_SETTINGS}
-    return blake2b(json.dumps(told, sort_keys=True).encode(), digest_size=6).hexdigest()
+    """Returns a digest that is equal for relays with the same settings, apart from per-relay ones."""
+    shared = {name: value for name, value in settings.items() if name not in PER_RELAY_SETTINGS}
+    return blake2b(json.dumps(shared, sort_keys=True).encode(), digest_size=6).hexdigest()
 
 
 def start_features(relay: Relay, orders: StartingOrders, wanted: OperatorFile) -> None:
+    """Starts each feature that the operator file enables. Raises BadConfigError."""
     logger.info("on by the operator file: {}", ", ".join(wanted.things_on()))
     if wanted.peers.on:
         start_membership(relay, orders, wanted.peers)
 
 
 def start_membership(relay: Relay, orders: StartingOrders, table: PeersTable) -> Membership:
+    """Starts membership on the relay's reactor.
+
+    Raises BadConfigError for a relay name that does not fit into a datagram.
+    """
     if not re.fullmatch(PRINTABLE_ASCII, orders.name) or not 0 < len(orders.name) <= 64:
         raise BadConfigError(
-            f"peers are on, and the relay's name is not 1 to 64 plain characters: {orders.name!r}"
+            f"peers are on, and the relay's name is not 1 to 64 printable ASCII characters: {orders.name!r}"
         )
-    newcomers = ArrivalRate()
-    relay.listens(newcomers)
+    arrival_rate = ArrivalRate()
+    relay.listens(arrival_rate)
     zone = str(orders.settings.get("zone") or "").encode("ascii", "replace").decode()[:64]
     digest = settings_digest(orders.settings)
 
-    def tells() -> dict[str, MetadataValue]:
+    def read_metadata() -> dict[str, MetadataValue]:
         state = "leaving" if relay.service.ending else "away" if relay.service.why_not_ready() else "ready"
         return {
             "state": state,
@@ -76,15 +86,17 @@
             "version": __version__,
             "settings": digest,
             "tunnels": relay.tunnels.table.used,
-            "newcomers": newcomers.read(relay.clock()),
+            "newcomers": arrival_rate.read(relay.clock()),
         }
 
     reactor = relay.context.reactor
-    shell = Shell(reactor, relay.timers, table.listen, tells)
-    pace = ProbeTiming(int(table.probe_every_ms * MS), int(table.probe_every_ms * MS * 2 // 5))
-    # Not the seed of its orders: a relay that is started again with the same ones must have another life.
+    shell = Shell(reactor, relay.timers, table.listen, read_metadata)
+    timing = ProbeTiming(int(table.probe_every_ms * MS), int(table.probe_every_ms * MS * 2 // 5))
+    # Not the configured seed: a relay restarted with the same configuration needs a different instance id.
     seed = int.from_bytes(os.urandom(8), "big")
-    machine = Membership(shell, table.fleet, orders.name, table.told or table.listen, table.seeds, pace, seed)
+    machine = Membership(
+        shell, table.fleet, orders.name, table.told or table.listen, table.seeds, timing, seed
+    )
     shell.join(machine)
     reactor.addSystemEventTrigger("before", "shutdown", shell.leave)
     return machine
--- a/cedarledge/peers/__init__.py
+++ b/cedarledge/peers/__init__.py
@@ -1,1 +1,2 @@
-"""Who else is there: relays of one fleet that know each other. Off unless an operator file says otherwise."""
+"""Membership of a fleet: relays discover and monitor each other by gossip. Off unless the operator file
+enables it."""
--- a/cedarledge/peers/command.py
+++ b/cedarledge/peers/command.py
@@ -1,4 +1,4 @@
-"""What staff ask of a running relay's peers: `cedarledge peers FILE`."""
+"""The command `cedarledge peers FILE`: shows the members that a running relay knows."""
 
 from __future__ import annotations
 
@@ -24,6 +24,7 @@
 )
 
 MAX_TRIES, ANSWER_TIMEOUT_S = 4, 0.5
+# Exit codes.
 EXIT_NO_ANSWER, EXIT_UNUSABLE_FILE = 1, 2
 
 
@@ -32,7 +33,7 @@
 
 
 def fetch_view(table: PeersTable) -> View:
-    """The whole view of the relay that listens where the table says. Raises NoAnswerError."""
+    """Returns the whole view of the relay that listens at the table's address. Raises NoAnswerError."""
     target = parse_private_address(table.listen)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
         udp_socket.settimeout(ANSWER_TIMEOUT_S)
@@ -62,13 +63,14 @@
 
 
 def format_table(view: View) -> str:
+    """Returns the view as a text table: a line per member, and a last line with the relay's own health."""
     lines = [f"{'name':20} {'zone':12} {'state':9} {'for':>9} {'inc.':>5} {'program':10} {'relay':8} address"]
     for row in view.rows:
-        told = row.told
-        since = f"{row.for_ms / 1000:.0f} s" if row.for_ms else ""
+        metadata = row.told
+        duration = f"{row.for_ms / 1000:.0f} s" if row.for_ms else ""
         lines.append(
-            f"{row.name:20} {told.get('zone', ''):12} {row.state:9} {since:>9} {row.incarnation:5} "
-            f"{told.get('version', ''):10} {told.get('state', ''):8} {row.address}"
+            f"{row.name:20} {metadata.get('zone', ''):12} {row.state:9} {duration:>9} {row.incarnation:5} "
+            f"{metadata.get('version', ''):10} {metadata.get('state', ''):8} {row.address}"
         )
     dropped = ", ".join(f"{count} {name}" for name, count in view.counts.items() if count)
     lines.append(f"local health {view.health} (0 is good)" + (f"; dropped: {dropped}" if dropped else ""))
@@ -78,15 +80,15 @@
 @click.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option("--watch", is_flag=True, help="Ask again each second, until Ctrl-C.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a look.")
+@click.option("--json", "as_json", is_flag=True, help="One JSON object per answer.")
 def peers(file: str, watch: bool, as_json: bool) -> None:
-    """Who else is there, as the relay sees it that runs with this operator FILE."""
+    """Show the members of the fleet as the relay that runs with this operator FILE sees them."""
     try:
         table = read_operator_file(file).peers
         if not table.on:
             raise BadFileError([f"{file}: peers.on is not true; a relay with this file has no peers"])
-    except BadFileError as why:
-        for problem in why.problems:
+    except BadFileError as error:
+        for problem in error.problems:
             click.echo(f"cedarledge: {problem}", err=True)
         sys.exit(EXIT_UNUSABLE_FILE)
     while True:
@@ -95,8 +97,8 @@
             click.echo(
                 json.dumps(msgspec.to_builtins(_to_json_object(view))) if as_json else format_table(view)
             )
-        except (NoAnswerError, OSError) as why:
-            click.echo(f"cedarledge: {why}", err=True)
+        except (NoAnswerError, OSError) as error:
+            click.echo(f"cedarledge: {error}", err=True)
             if not watch:
                 sys.exit(EXIT_NO_ANSWER)
         if not watch:
@@ -105,6 +107,6 @@
 
 
 def _to_json_object(view: View) -> dict[str, object]:
-    """With names: structs are arrays on the wire, which staff should not have to count."""
-    told = msgspec.structs.asdict(view)
-    return told | {"rows": [msgspec.structs.asdict(row) for row in view.rows]}
+    """Returns the view with field names, as the structs are encoded as arrays."""
+    fields = msgspec.structs.asdict(view)
+    return fields | {"rows": [msgspec.structs.asdict(row) for row in view.rows]}
--- a/cedarledge/peers/machine.py
+++ b/cedarledge/peers/machine.py
@@ -82,8 +82,8 @@
 class ProbeTiming(NamedTuple):
     """How fast members are probed: a period, and the part of it in which a direct answer must come."""
 
-    every: int = 500 * MS
-    answer_within: int = 200 * MS
+    period: int = 500 * MS
+    ack_timeout: int = 200 * MS
 
 
 DEFAULT_TIMING = ProbeTiming()
--- a/cedarledge/peers/messages.py
+++ b/cedarledge/peers/messages.py
@@ -1,7 +1,7 @@
-"""What relays say to each other: one datagram a message, msgspec structs in MessagePack.
+"""Datagrams of the membership protocol: one message per datagram, msgspec structs encoded as MessagePack.
 
-Structs are arrays on the wire, so a newer format may add fields at the end and is still understood. All
-bounds are part of the types: what does not fit them is malformed.
+Structs are encoded as arrays, so a newer format may append fields and older relays still decode it. The types
+carry all bounds; a message that violates one is malformed.
 """
 
 from __future__ import annotations
@@ -14,29 +14,29 @@
 import msgspec
 from msgspec import Meta
 
-# The oldest format that is understood, and the one that is spoken.
+# The oldest format that is accepted, and the format that is sent.
 OLDEST_FORMAT, FORMAT = 1, 1
-# A datagram's bytes: within one packet everywhere, tunnels of networks included.
+# Upper bound of a datagram: fits into one IP packet on every network, also through network tunnels.
 MAX_DATAGRAM_BYTES = 1200
-# Incarnations and counts wrap here; see newer().
+# Incarnations and other counters wrap around at this value; is_newer() compares them.
 COUNTER_MODULUS = 1 << 32
-# What a relay may tell of itself, all fields together, encoded.
+# Upper bound of a relay's metadata: all fields together, encoded.
 MAX_METADATA_BYTES = 480
 
-# Plain characters of one byte each: a name's length is its size in a datagram.
+# One byte per character, so the length of a name is its size in a datagram.
 PRINTABLE_ASCII = "^[ -~]*$"
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=PRINTABLE_ASCII)]
 Address = Annotated[str, Meta(max_length=21)]  # dotted IPv4 and a port
 WrappingCounter = Annotated[int, Meta(ge=0, lt=COUNTER_MODULUS)]
 FieldName = Annotated[str, Meta(min_length=1, max_length=24)]
-# Numbers of every sort before text: a value is one of few plain things.
+# Only scalars and short strings.
 MetadataValue = bool | int | float | Annotated[str, Meta(max_length=64)]
-# What a relay tells of itself: a value for each name, and the teller's own count when it told it.
+# What a relay publishes about itself: per field, its own version counter at the change, and the value.
 Metadata = Annotated[dict[FieldName, tuple[WrappingCounter, MetadataValue]], Meta(max_length=24)]
 
 
 class State(IntEnum):
-    """What a member is held to be. Of two words of one life and incarnation the higher holds."""
+    """State of a member. Between two updates of one instance and incarnation the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -45,29 +45,33 @@
 
 
 class Kind(IntEnum):
-    PING = 0  # number, target: who is meant
-    ACK = 1  # number
-    ASK = 2  # number, target, at: ping it for me
-    NACK = 3  # number: no answer from the one you asked for
-    NEWS = 4
-    SYNC = 5  # digest: of all that the sender knows; number 1: it is an answer to one
-    SHOW = 6  # staff: the view from row `number` on
+    """Message types, with the fields that each uses besides the sender and the piggybacked updates."""
+
+    PING = 0  # number; target: name of the member that is probed
+    ACK = 1  # number: of the PING
+    ASK = 2  # SWIM's ping-req. number; target, target_address: the member to probe on the sender's behalf
+    NACK = 3  # number: of the ASK whose target did not answer
+    NEWS = 4  # carries updates only
+    SYNC = 5  # starts a full exchange. digest: of the sender's view; number 1: reply to another SYNC
+    SHOW = 6  # an operator's request for the view, from row `number` on
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """One member, as somebody holds it to be."""
+    """The state of one member as the sender knows it."""
 
     name: Name
     address: Address
-    instance_id: Annotated[int, Meta(ge=0, lt=1 << 62)]  # drawn at the start of its process
+    instance_id: Annotated[int, Meta(ge=0, lt=1 << 62)]  # random, drawn when its process starts
     incarnation: WrappingCounter
     state: State
-    accuser: Annotated[str, Meta(max_length=64, pattern=PRINTABLE_ASCII)] = ""  # who suspects it
+    accuser: Annotated[str, Meta(max_length=64, pattern=PRINTABLE_ASCII)] = (
+        ""  # name of the member that suspects it
+    )
     metadata: Metadata = {}
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """One datagram. The sender's own name, address, life and incarnation stand in each."""
+    """One datagram. Each carries the sender's own name, address, instance and incarnation."""
 
     format: Annotated[int, Meta(ge=0)]
     fleet: Name
@@ -84,7 +88,10 @@
 
 
 class Row(msgspec.Struct, array_like=True, frozen=True):
-    """One member as staff see it; for is how long it has been so, ms."""
+    """One member in a view shown to operators. Field names are keys of `cedarledge peers --json`.
+
+    `for_ms` is the time since the last change of state; `told` is the member's metadata.
+    """
 
     name: str
     address: str
@@ -95,8 +102,11 @@
 
 
 class View(msgspec.Struct, array_like=True, frozen=True):
-    """An answer to SHOW: rows from `first` on, of `total`; counts of what was dropped, and the local
-    health."""
+    """Reply to SHOW. Field names are keys of `cedarledge peers --json`.
+
+    Holds the rows from `first` on, out of `total`; `health` is Lifeguard's local health score, 0 is healthy;
+    `counts` has the dropped datagrams and updates by reason.
+    """
 
     format: int
     fleet: str
@@ -114,7 +124,7 @@
 
 
 class Header(msgspec.Struct, array_like=True, frozen=True):
-    """The part of any message by which it is told whether the rest can be read."""
+    """The leading fields of any message: enough to decide whether the rest can be decoded."""
 
     format: int
     fleet: Name
@@ -122,24 +132,24 @@
 
 decode_header = msgspec.msgpack.Decoder(Header).decode
 
-# There is no sign-in, so nothing is heard from or sent to anywhere but these.
+# The protocol has no authentication, so addresses outside these networks are rejected in both directions.
 PRIVATE_NETWORKS = tuple(
-    IPv4Network(net) for net in ("127.0.0.0/8", "10.0.0.0/8", "172.16.0.0/12", "192.168.0.0/16")
+    IPv4Network(network) for network in ("127.0.0.0/8", "10.0.0.0/8", "172.16.0.0/12", "192.168.0.0/16")
 )
 
 
 @lru_cache(maxsize=8192)
 def parse_private_address(address: str) -> tuple[str, int]:
-    """Host and port of a loopback or private address. Raises ValueError for any other."""
+    """Returns host and port of a loopback or private IPv4 address. Raises ValueError for any other."""
     host, _, port = address.rpartition(":")
-    found = IPv4Address(host)
+    ip = IPv4Address(host)
     if not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ValueError(f"no port: {address!r}")
-    if not any(found in net for net in PRIVATE_NETWORKS):
+        raise ValueError(f"no valid port: {address!r}")
+    if not any(ip in network for network in PRIVATE_NETWORKS):
         raise ValueError(f"neither loopback nor private: {address!r}")
     return host, int(port)
 
 
-def is_newer(one: int, other: int) -> bool:
-    """Of two counts that wrap, whether `one` is the later: less than half of the way round ahead."""
-    return 0 < (one - other) % COUNTER_MODULUS < COUNTER_MODULUS // 2
+def is_newer(counter: int, reference: int) -> bool:
+    """Whether a wrapping counter is later than a reference: ahead of it by less than half of the range."""
+    return 0 < (counter - reference) % COUNTER_MODULUS < COUNTER_MODULUS // 2
--- a/cedarledge/peers/shell.py
+++ b/cedarledge/peers/shell.py
@@ -1,5 +1,4 @@
-"""A relay's peers on UDP: the socket, the timers and the log round the machine, and nothing that it
-decides."""
+"""I/O for the membership state machine: UDP socket, timers and log. It makes no protocol decisions."""
 
 from __future__ import annotations
 
@@ -13,14 +12,15 @@
 from cedarledge.peers.messages import MAX_DATAGRAM_BYTES, MetadataValue, State, parse_private_address
 from cedarledge.terms import MS, SECOND
 
-# Datagrams read in one go, and how long the rest waits then: a flood at this port costs a bounded part of the
-# reactor's time, and what the system can't keep meanwhile is lost, as datagrams are. 1,600 a second are read.
+# Datagrams read in one turn of the reactor, and the pause before the next turn. This bounds the share of the
+# reactor's time that a flood on this port takes: at most 1,600 datagrams are read per second, and the kernel
+# drops what overflows the socket buffer meanwhile.
 MAX_READS_AT_ONCE, READ_PAUSE = 16, 10 * MS
-# The port may be held by the process before this one, which ends soon.
+# During a hot restart the previous process still holds the port until it exits.
 BIND_RETRY_INTERVAL = SECOND
-# How often the machine is told of what this relay says of itself.
+# How often the relay's own metadata is read and handed to the state machine.
 METADATA_POLL_INTERVAL = 500 * MS
-# So many lines about the view in each span; more are counted.
+# Upper bound of log lines about membership changes per window; the rest are only counted.
 MAX_LOG_LINES, LOG_WINDOW = 40, 10 * SECOND
 EVENTS = {
     State.ALIVE: "peers.back",
@@ -31,21 +31,32 @@
 
 
 class Timers(Protocol):
-    """The relay's timers, as far as they are needed; delays are ns."""
+    """The part of the relay's timers that the shell uses. Times and delays are ns."""
 
-    def now(self) -> int: ...
-    def after(self, delay: int, call: Callable[..., None], *args: Any) -> object: ...
-    def after_reading(self, delay: int, call: Callable[..., None], *args: Any) -> object: ...
+    def now(self) -> int:
+        """Returns the monotonic time."""
+        ...
+
+    def after(self, delay: int, call: Callable[..., None], *args: Any) -> object:
+        """Schedules a call."""
+        ...
+
+    def after_reading(self, delay: int, call: Callable[..., None], *args: Any) -> object:
+        """Schedules a call that runs only after input that is ready by then has been read."""
+        ...
 
 
 class Shell:
-    """Hosts one machine (machine.PeersHost). It owns the socket, which `leave` gives back."""
+    """Host of one membership state machine (machine.MembershipHost); owns its socket."""
 
     def __init__(
         self, reactor: Any, timers: Timers, listen: str, read_metadata: Callable[[], dict[str, MetadataValue]]
     ) -> None:
-        """`tells` gives what the relay says of itself; `urgent` among it is told at once. `join` starts
-        it."""
+        """Sends nothing before `join` is called.
+
+        `read_metadata` returns the relay's current metadata. The field `state` must be present, and a change
+        of it is gossiped at once; other fields wait for the periodic broadcast.
+        """
         self.reactor = reactor
         self.timers = timers
         self.listen = parse_private_address(listen)
@@ -57,6 +68,7 @@
         self._closed = False
 
     def join(self, machine: Membership) -> None:
+        """Binds the socket and starts the state machine; retries for as long as the port is taken."""
         self.machine = machine
         self._bind()
 
@@ -71,7 +83,7 @@
             udp_socket.close()
             if not self._bind_failure_logged:
                 logger.warning(
-                    "peers: {}:{} can't be had, tried again each second: {}", *self.listen, why.strerror
+                    "peers: cannot bind {}:{}, tried again each second: {}", *self.listen, why.strerror
                 )
             self._bind_failure_logged = True
             self.timers.after(BIND_RETRY_INTERVAL, self._bind)
@@ -83,7 +95,7 @@
         self.reactor.addReader(self)
 
     def leave(self) -> None:
-        """Says goodbye and gives the socket back; for the end of the process."""
+        """Announces the planned exit to the fleet and closes the socket. Called when the process ends."""
         self._closed = True
         if self._socket is None:
             return
@@ -101,33 +113,38 @@
         self.machine.publish_metadata(now, state=metadata.pop("state"))
         self.machine.set_metadata(now, **metadata)
 
-    # -- what the reactor calls --------------------------------------------------------------------
+    # -- reactor callbacks (Twisted's IReadDescriptor) ---------------------------------------------
 
     def fileno(self) -> int:
+        """Returns the socket's file descriptor, -1 without a socket."""
         return -1 if self._socket is None else self._socket.fileno()
 
     def logPrefix(self) -> str:  # noqa: N802
+        """Returns the prefix that Twisted puts before its own log lines about this reader."""
         return "peers"
 
     def connectionLost(self, _reason: Any) -> None:  # noqa: N802
-        """The reactor has given the reader up, at its own end at the latest."""
+        """Does nothing: the reactor calls it when it drops the reader, at the latest when it stops."""
 
     def doRead(self) -> None:  # noqa: N802
+        """Reads a bounded batch of datagrams, then pauses reading if more may be waiting."""
         assert self._socket is not None
         for _ in range(MAX_READS_AT_ONCE):
             try:
-                # One byte more tells what is too long from what just fits.
+                # One extra byte distinguishes an oversized datagram from one of exactly the maximum size.
                 data = self._socket.recv(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:
-                # Linux tells here that a datagram sent before found nobody: the machine's probes tell better.
+                # Linux reports here that an earlier datagram was refused (ICMP); the protocol's probes
+                # detect a dead member more reliably.
                 continue
             try:
                 self.machine.received(self.timers.now(), data)
             except Exception:
-                # A fault costs one datagram. Left to the reactor it would cost the socket.
-                logger.exception("peers: a datagram of {} bytes could not be taken in", len(data))
+                # A fault costs only this datagram. An exception passed on to the reactor would make it drop
+                # the socket.
+                logger.exception("peers: failed to process a datagram of {} bytes", len(data))
             if self._socket is None:
                 return
         self.reactor.removeReader(self)
@@ -137,18 +154,20 @@
         if self._socket is not None:
             self.reactor.addReader(self)
 
-    # -- what the machine calls --------------------------------------------------------------------
+    # -- MembershipHost ----------------------------------------------------------------------------
 
     def send(self, address: str, data: bytes) -> None:
+        """Sends one datagram, or drops it if the system refuses it."""
         if self._socket is None:
             return
         try:
             self._socket.sendto(data, parse_private_address(address))
         except OSError:
-            # A full buffer or no way there: a lost datagram, which the machine reckons with.
+            # Send buffer full or no route: counts as a lost datagram, which the protocol tolerates.
             return
 
     def set_timer(self, delay: int, token: int) -> None:
+        """Calls the machine's `timer_expired` after the delay, once pending datagrams have been read."""
         self.timers.after_reading(delay, self._timer_expired, token)
 
     def _timer_expired(self, token: int) -> None:
@@ -156,12 +175,14 @@
             self.machine.timer_expired(self.timers.now(), token)
 
     def changed(self, name: str, before: State | None, after: State | None, why: str) -> None:
+        """Logs a change of the view."""
         event = "peers.forgotten" if after is None else "peers.joined" if before is None else EVENTS[after]
         self._log_change(event, why, peer=name)
 
     def name_conflict(self, address: str) -> None:
+        """Logs that another live relay uses this relay's name."""
         logger.error(
-            "peers: another relay of this name is alive at {}; this one keeps out of its fleet for a while",
+            "peers: another relay of this name is alive at {}; this one is silent in the fleet for a while",
             address,
         )
 
