--- a/cedarledge/fleet.py
+++ b/cedarledge/fleet.py
@@ -14,7 +14,7 @@
 from loguru import logger
 
 from cedarledge import __version__
-from cedarledge.net.config import BadConfigError, StartingOrders
+from cedarledge.net.config import BadConfigError, RelayConfig
 from cedarledge.net.relay import Relay
 from cedarledge.net.seams import Hearer
 from cedarledge.operator.file import OperatorFile, PeersTable
@@ -56,29 +56,29 @@
     return blake2b(json.dumps(shared, sort_keys=True).encode(), digest_size=6).hexdigest()
 
 
-def start_features(relay: Relay, orders: StartingOrders, wanted: OperatorFile) -> None:
+def start_features(relay: Relay, config: RelayConfig, wanted: OperatorFile) -> None:
     """Starts each feature that the operator file enables. Raises BadConfigError."""
-    logger.info("on by the operator file: {}", ", ".join(wanted.things_on()))
+    logger.info("on by the operator file: {}", ", ".join(wanted.enabled_tables()))
     if wanted.peers.on:
-        start_membership(relay, orders, wanted.peers)
+        start_membership(relay, config, wanted.peers)
 
 
-def start_membership(relay: Relay, orders: StartingOrders, table: PeersTable) -> Membership:
+def start_membership(relay: Relay, config: RelayConfig, table: PeersTable) -> Membership:
     """Starts membership on the relay's reactor.
 
     Raises BadConfigError for a relay name that does not fit into a datagram.
     """
-    if not re.fullmatch(PRINTABLE_ASCII, orders.name) or not 0 < len(orders.name) <= 64:
+    if not re.fullmatch(PRINTABLE_ASCII, config.name) or not 0 < len(config.name) <= 64:
         raise BadConfigError(
-            f"peers are on, and the relay's name is not 1 to 64 printable ASCII characters: {orders.name!r}"
+            f"peers are on, and the relay's name is not 1 to 64 printable ASCII characters: {config.name!r}"
         )
     arrival_rate = ArrivalRate()
     relay.listens(arrival_rate)
-    zone = str(orders.settings.get("zone") or "").encode("ascii", "replace").decode()[:64]
-    digest = settings_digest(orders.settings)
+    zone = str(config.settings.get("zone") or "").encode("ascii", "replace").decode()[:64]
+    digest = settings_digest(config.settings)
 
     def read_metadata() -> dict[str, MetadataValue]:
-        state = "leaving" if relay.service.ending else "away" if relay.service.why_not_ready() else "ready"
+        state = "leaving" if relay.service.stopping else "away" if relay.service.why_not_ready() else "ready"
         return {
             "state": state,
             "zone": zone,
@@ -95,7 +95,7 @@
     # Not the configured seed: a relay restarted with the same configuration needs a different instance id.
     seed = int.from_bytes(os.urandom(8), "big")
     machine = Membership(
-        shell, table.fleet, orders.name, table.told or table.listen, table.seeds, timing, seed
+        shell, table.fleet, config.name, table.told or table.listen, table.seeds, timing, seed
     )
     shell.join(machine)
     reactor.addSystemEventTrigger("before", "shutdown", shell.leave)
