--- a/cedarledge/failover/__init__.py
+++ b/cedarledge/failover/__init__.py
@@ -1,4 +1,4 @@
-"""Which zones carry whose traffic, decided by a majority of named relays.
+"""Zone failover: a majority of named relays decides which zones carry which traffic.
 
-So far the vote alone, tried in the model; nothing uses it.
+Only the decision exists so far, and is tested in the model; no relay uses it yet.
 """
