--- a/cedarledge/fleet.py
+++ b/cedarledge/fleet.py
@@ -15,8 +15,8 @@
 
 from cedarledge import __version__
 from cedarledge.net.config import BadConfigError, RelayConfig
+from cedarledge.net.interfaces import Observer
 from cedarledge.net.relay import Relay
-from cedarledge.net.seams import Hearer
 from cedarledge.operator.file import OperatorFile, PeersTable
 from cedarledge.peers.machine import Membership, ProbeTiming
 from cedarledge.peers.messages import PRINTABLE_ASCII, MetadataValue
@@ -29,7 +29,7 @@
 RATE_WINDOW = 4 * SECOND
 
 
-class ArrivalRate(Hearer):
+class ArrivalRate(Observer):
     """Client requests per second, over the last complete window."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         self._since = self._count = 0
         self.rate = 0.0
 
-    def arrived(self, now: int, tun: int, profile: int, returning: bool) -> None:
+    def arrived(self, now: int, tunnel_id: int, profile: int, returning: bool) -> None:
         """Counts a request."""
         self._count += 1
 
@@ -73,7 +73,7 @@
             f"peers are on, and the relay's name is not 1 to 64 printable ASCII characters: {config.name!r}"
         )
     arrival_rate = ArrivalRate()
-    relay.listens(arrival_rate)
+    relay.add_observer(arrival_rate)
     zone = str(config.settings.get("zone") or "").encode("ascii", "replace").decode()[:64]
     digest = settings_digest(config.settings)
 
--- a/cedarledge/net/evicting_listener.py
+++ b/cedarledge/net/evicting_listener.py
@@ -66,7 +66,7 @@
         # Twisted would take in a hundred and more before it lets one of those go that make room.
         self.port.numberAccepts = ACCEPTS_PER_TURN
         # A newcomer that becomes a tunnel takes a second slot for its setup, so it may be more than one.
-        while self.context.links.left + len(self.evicted) <= self.spare_slots and (
+        while self.context.links.free + len(self.evicted) <= self.spare_slots and (
             held := self.answered or self.waiting
         ):
             link = next(iter(held))
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -16,7 +16,7 @@
 from contextlib import ExitStack, contextmanager, suppress
 from pathlib import Path
 
-from helpers import Backend, Client, Program, until
+from helpers import Backend, Client, RelayProgram, wait_until
 from pytest import mark
 from test_handover import RestartableRelay
 
@@ -41,13 +41,13 @@
             link.close()
         self.programs = [self.start(place, name) for place, name in enumerate(names)]
 
-    def start(self, place: int, name: str, text: str = "") -> Program:
+    def start(self, place: int, name: str, text: str = "") -> RelayProgram:
         folder = self.folder / f"{place}-{name}"
         folder.mkdir(exist_ok=True)
         seeds = ", ".join(f'"{address}"' for address in self.addresses[:3])
         (folder / "file").write_text(text or OPERATOR_FILE.format(self.addresses[place], seeds))
         arguments = ["relay", "--file", str(folder / "file")]
-        return self.stack.enter_context(Program(folder, self.backends, arguments, name=name))
+        return self.stack.enter_context(RelayProgram(folder, self.backends, arguments, name=name))
 
     def free_address(self) -> str:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as link:
@@ -77,42 +77,42 @@
     """A fleet in which all relays see each other."""
     with ExitStack() as stack:
         fleet = RelayFleet(stack, folder, [Backend("b-a"), Backend("b-b")], list(names))
-        until(lambda: fleet.all_see(*names), 10)
+        wait_until(lambda: fleet.all_see(*names), 10)
         yield fleet
 
 
-def logged(program: Program, event: str) -> list[dict]:
+def logged(program: RelayProgram, event: str) -> list[dict]:
     lines = [json.loads(line) for line in program.log.read_text().splitlines() if line.startswith("{")]
     return [line for line in lines if line.get("event") == event]
 
 
 def test_a_kill_a_stop_a_restart_and_a_planned_exit_are_distinguished_in_time(tmp_path: Path) -> None:
     with running_relays(tmp_path, "n0", "n1", "n2", "n3") as fleet:
-        until(lambda: all("state" in row.told for row in fleet.rows(0)), 10)
+        wait_until(lambda: all("state" in row.told for row in fleet.rows(0)), 10)
         told = {row.name: row.told for row in fleet.rows(0)}
         assert [told[name]["state"] for name in ("n0", "n1", "n2", "n3")] == ["ready"] * 4
         assert len({told[name]["settings"] for name in told}) == 1 and told["n1"]["zone"] == "here"
         client = fleet.programs[0].client()
         assert client.open() == "UP r"
-        until(lambda: {row.name: row.told for row in fleet.rows(2)}["n0"].get("tunnels") == 1, 10)
+        wait_until(lambda: {row.name: row.told for row in fleet.rows(2)}["n0"].get("tunnels") == 1, 10)
         # A restart faster than the suspicion timeout: no member ever declares it dead.
         fleet.programs[3].process.kill()
         fleet.programs[3].process.wait()
         fleet.programs[3].start()
-        until(lambda: fleet.all_see("n0", "n1", "n2", "n3"), 10)
+        wait_until(lambda: fleet.all_see("n0", "n1", "n2", "n3"), 10)
         # Killed for good, with a client connected.
         assert fleet.programs[1].client().open() == "UP r"
         fleet.programs[1].process.kill()
-        until(lambda: {fleet.view(place).get("n1") for place in (0, 2, 3)} == {"dead"}, 10)
+        wait_until(lambda: {fleet.view(place).get("n1") for place in (0, 2, 3)} == {"dead"}, 10)
         # Stopped and continued: dead to the others meanwhile, it declares none of them dead afterwards.
         fleet.programs[2].process.send_signal(signal.SIGSTOP)
-        until(lambda: fleet.view(0)["n2"] == "dead" and fleet.view(3)["n2"] == "dead", 12)
+        wait_until(lambda: fleet.view(0)["n2"] == "dead" and fleet.view(3)["n2"] == "dead", 12)
         fleet.programs[2].process.send_signal(signal.SIGCONT)
-        until(lambda: fleet.all_see("n0", "n2", "n3"), 8)
+        wait_until(lambda: fleet.all_see("n0", "n2", "n3"), 8)
         assert not [line for line in logged(fleet.programs[2], "peers.dead") if line["peer"] != "n1"]
         # A planned exit is announced and needs no detection.
-        fleet.programs[3].ask_to_stop()
-        until(lambda: fleet.view(0)["n3"] == "left" and fleet.view(2)["n3"] == "left", 6)
+        fleet.programs[3].terminate()
+        wait_until(lambda: fleet.view(0)["n3"] == "left" and fleet.view(2)["n3"] == "left", 6)
         assert [line["peer"] for line in logged(fleet.programs[0], "peers.dead")] == ["n1", "n2"]
         assert client.say("M 1") == "M 1" and fleet.programs[2].client().open() == "UP r"
 
@@ -123,23 +123,23 @@
         (tmp_path / "file").write_text(OPERATOR_FILE.format(address, f'"{fleet.addresses[0]}"'))
         arguments = ["relay", "--file", str(tmp_path / "file")]
         with RestartableRelay(tmp_path, fleet.backends, arguments=arguments, name="n2") as pair:
-            until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
+            wait_until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
             client = Client(pair.address)
             assert client.open() == "UP r"
             pair.next()
             # The previous process still holds the port and the name; the new one serves without membership.
-            until(lambda: pair.said("tried again each second"))
+            wait_until(lambda: pair.said("tried again each second"))
             assert Client(pair.address).open("k2") == "UP r"
             pair.processes[0].send_signal(signal.SIGTERM)
-            until(lambda: pair.log.read_text().count("peers: on as n2") == 2, 10)
-            until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
-            assert client.hear() == "MOVE"
+            wait_until(lambda: pair.log.read_text().count("peers: on as n2") == 2, 10)
+            wait_until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
+            assert client.read_line() == "MOVE"
             # A process that is killed when a handover has just begun.
             pair.start()
             pair.processes[1].kill()
-            until(lambda: pair.log.read_text().count("peers: on as n2") == 3, 10)
-            until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
-            until(lambda: Client(pair.address).open("k3") == "UP r")
+            wait_until(lambda: pair.log.read_text().count("peers: on as n2") == 3, 10)
+            wait_until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
+            wait_until(lambda: Client(pair.address).open("k3") == "UP r")
         assert not [line for line in logged(fleet.programs[0], "peers.dead") if line["peer"] == "n2"]
 
 
@@ -150,7 +150,7 @@
         for program in fleet.programs:
             program.process.wait()
             program.start()
-        until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
+        wait_until(lambda: fleet.all_see("n0", "n1", "n2"), 10)
         assert all(program.client().open() == "UP r" for program in fleet.programs)
 
 
@@ -159,9 +159,9 @@
         fleet.addresses.append(fleet.free_address())
         second = fleet.start(3, "n2")
         pair = (second, fleet.programs[2])
-        until(lambda: any("another relay of this name" in each.log.read_text() for each in pair), 10)
+        wait_until(lambda: any("another relay of this name" in each.log.read_text() for each in pair), 10)
         assert all(program.client().open() == "UP r" for program in pair)
-        until(lambda: fleet.view(0) == {"n0": "self", "n1": "alive", "n2": "alive"}, 10)
+        wait_until(lambda: fleet.view(0) == {"n0": "self", "n1": "alive", "n2": "alive"}, 10)
 
 
 def test_a_port_in_use_and_seeds_that_never_answer_delay_nothing(tmp_path: Path) -> None:
@@ -171,7 +171,7 @@
         late = fleet.start(1, "n1")
         assert late.client().open() == "UP r" and "tried again" in late.log.read_text()
         taken.close()
-        until(lambda: fleet.view(0) == {"n0": "self", "n1": "alive"}, 10)
+        wait_until(lambda: fleet.view(0) == {"n0": "self", "n1": "alive"}, 10)
         silent = OPERATOR_FILE.format(
             fleet.addresses[1].replace("127.0.0.1", "127.0.0.2"), '"127.0.0.9:9", "10.255.255.1:9"'
         )
@@ -200,7 +200,7 @@
                 durations.append(time.monotonic() - start)
         assert sent > 10_000 and statistics.median(durations) < 0.1 and max(durations) < 1
         assert resident() - before < 12 << 10
-        until(lambda: fleet.view(0).get("n1") == "alive" and fleet.view(1).get("n0") == "alive", 20)
+        wait_until(lambda: fleet.view(0).get("n1") == "alive" and fleet.view(1).get("n0") == "alive", 20)
 
 
 def test_a_changed_peers_table_on_sighup_is_rejected_with_one_line_and_the_relay_continues(
@@ -213,7 +213,9 @@
             path.write_text(text + "[boxes]\naside = ['b-a', 'b-b']\n")
             before = fleet.programs[0].log.read_text().count("takes a restart")
             fleet.programs[0].process.send_signal(signal.SIGHUP)
-            until(lambda before=before: fleet.programs[0].log.read_text().count("takes a restart") > before)
+            wait_until(
+                lambda before=before: fleet.programs[0].log.read_text().count("takes a restart") > before
+            )
         path.write_text(valid)
         assert fleet.programs[0].log.read_text().count("takes a restart") == 2
         assert fleet.view(0) == {"n0": "self", "n1": "alive"} and fleet.programs[0].client().open() == "UP r"
@@ -294,7 +296,7 @@
             for name in names
         }
         keys = {name: {"on": True, "listen": f"127.0.0.1:{port}"} for name in ("peers", "operator", "file")}
-        program = Program.__new__(Program)
+        program = RelayProgram.__new__(RelayProgram)
         before = {name: os.environ.get(name) for name in ("PYTHONPATH", *misleading)}
         os.environ.update(misleading | {"PYTHONPATH": str(source)})
         cwd = Path.cwd()
--- a/tests/test_tunnels.py
+++ b/tests/test_tunnels.py
@@ -4,22 +4,22 @@
 
 from typing import Any
 
-from helpers import MS, SECOND, facts, listed
+from helpers import MS, SECOND, list_entry, make_settings
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
 from cedarledge.net.boxlist import BoxList
 from cedarledge.net.buffers import Pool
-from cedarledge.net.clients import read_opening
+from cedarledge.net.clients import parse_open_request
 from cedarledge.net.echoes import Delays, Echoes
+from cedarledge.net.interfaces import Observer
 from cedarledge.net.invariants import Invariants
 from cedarledge.net.links import ConnectionContext
-from cedarledge.net.module import Module
 from cedarledge.net.observers import Observers
+from cedarledge.net.policy_host import RelayPolicyHost
 from cedarledge.net.rate_limited_log import RateLimitedLog
-from cedarledge.net.seams import Hearer
-from cedarledge.net.slots import FullError, Slots
+from cedarledge.net.slots import NoFreeSlotError, SlotTable
 from cedarledge.net.timers import Timers
 from cedarledge.net.tunnels import Tunnels
 from cedarledge.policy import Balancer
@@ -35,26 +35,26 @@
 
 
 class Client:
-    """A seams.ClientEnd that notes what it is told."""
+    """An interfaces.ClientConnection that notes what it is told."""
 
     def __init__(self) -> None:
         self.transport = Transport()
         self.said: list[str] = []
-        self.tun = -1
+        self.tunnel_id = -1
 
     def peer_has_left(self) -> bool:
         return "LEFT" in self.said
 
-    def opened(self, line: bytes) -> None:
+    def accept(self, line: bytes) -> None:
         self.said.append("UP")
 
-    def decline(self, come_back: int) -> None:
+    def reject(self, retry_after: int) -> None:
         self.said.append("BUSY")
 
-    def fail(self) -> None:
+    def send_error(self) -> None:
         self.said.append("ERR")
 
-    def move(self) -> None:
+    def send_move(self) -> None:
         self.said.append("MOVE")
 
     def finish(self) -> None:
@@ -71,8 +71,8 @@
 
 
 class SetupStub:
-    def __init__(self, ep: int, began: int) -> None:
-        self.ep = ep
+    def __init__(self, backend_id: int, began: int) -> None:
+        self.backend_id = backend_id
         self.began = began
         self.written = False
         self.over = False
@@ -85,16 +85,16 @@
         assert not self.over
 
 
-class Ear(Hearer):
+class Ear(Observer):
     """Counts, and fails."""
 
     def __init__(self) -> None:
         self.came = self.went = 0
 
-    def arrived(self, now: int, tun: int, profile: int, returning: bool) -> None:
+    def arrived(self, now: int, tunnel_id: int, profile: int, returning: bool) -> None:
         self.came += 1
 
-    def ended(self, now: int, tun: int, took: int) -> None:
+    def ended(self, now: int, tunnel_id: int, took: int) -> None:
         self.went += 1
         raise RuntimeError("a hearer that fails each time")
 
@@ -106,17 +106,23 @@
         self.reactor = Clock()
         timers = Timers(self.reactor, self.now)
         context = ConnectionContext(
-            self.reactor, self.now, timers, Pool(4097, 50), Slots(50), RateLimitedLog(timers), Invariants()
+            self.reactor,
+            self.now,
+            timers,
+            Pool(4097, 50),
+            SlotTable(50),
+            RateLimitedLog(timers),
+            Invariants(),
         )
         self.invariants = context.invariants
         observers = Observers(self.now, timers)
         observers.add(Ear())
-        self.module = Module(self.now, timers)
-        self.boxes = BoxList(self.module, observers, {})
+        self.policy_host = RelayPolicyHost(self.now, timers)
+        self.boxes = BoxList(self.policy_host, observers, {})
         profiles = {"a": 0, "b": 1, "c": 2}
         self.tunnels = Tunnels(
             context,
-            self.module,
+            self.policy_host,
             self.boxes,
             observers,
             MOST,
@@ -124,20 +130,20 @@
             {},
             [SECOND] * 3,
             150 * MS,
-            facts().profiles,
+            make_settings().profiles,
         )
-        self.tunnels.join(
+        self.tunnels.connect(
             self, Echoes(self.now, timers, Delays(self.now, 0, lambda *_: None), self.tunnels.silent)
         )
-        self.module.join(self.tunnels, self, self.boxes, self)
+        self.policy_host.connect(self.tunnels, self, self.boxes, self)
         self.timers = timers
         self.out: dict[int, SetupStub] = {}
         self.clients: list[Client] = []
         self.full = False
-        self.module.start(facts(now=self.now()), Broken if broken else Balancer)
-        entries = [listed(ep, cells=2) for ep in range(BOXES)]
+        self.policy_host.start(make_settings(now=self.now()), Broken if broken else Balancer)
+        entries = [list_entry(backend_id, cells=2) for backend_id in range(BOXES)]
         for entry in entries:
-            self.boxes.addresses[self.boxes.eps[f"s-{entry.ep}"]] = ("127.0.0.1", 1)
+            self.boxes.addresses[self.boxes.backend_ids[f"s-{entry.ep}"]] = ("127.0.0.1", 1)
         self.listing = {entry.ep: entry for entry in entries}
         self.boxes.changed(ListForm.RESTORED, entries)
 
@@ -146,23 +152,25 @@
 
     # -- what the module's host and the tunnels ask of others --------------------------------------
 
-    def set_up(self, tun: int, ep: int, address: Any, head: Any, timeout: int, within: int) -> SetupStub:
-        assert tun not in self.out, "two setups of one tunnel at once"
+    def set_up(
+        self, tunnel_id: int, backend_id: int, address: Any, head: Any, timeout: int, within: int
+    ) -> SetupStub:
+        assert tunnel_id not in self.out, "two setups of one tunnel at once"
         if self.full:
-            raise FullError
-        self.out[tun] = SetupStub(ep, self.now())
-        self.timers.after(timeout, self._too_late, tun, self.out[tun])
-        return self.out[tun]
+            raise NoFreeSlotError
+        self.out[tunnel_id] = SetupStub(backend_id, self.now())
+        self.timers.after(timeout, self._too_late, tunnel_id, self.out[tunnel_id])
+        return self.out[tunnel_id]
 
-    def probe(self, ep: int, address: Any) -> None:
+    def probe(self, backend_id: int, address: Any) -> None:
         """Never answered: looks run out."""
 
     def start(self) -> None:
         """Discovery."""
 
-    def _too_late(self, tun: int, setup: SetupStub) -> None:
-        if self.out.get(tun) is setup and not setup.over:
-            self.ends(tun, Outcome.TIMEOUT)
+    def _too_late(self, tunnel_id: int, setup: SetupStub) -> None:
+        if self.out.get(tunnel_id) is setup and not setup.over:
+            self.ends(tunnel_id, Outcome.TIMEOUT)
 
     # -- what happens ------------------------------------------------------------------------------
 
@@ -170,53 +178,55 @@
         client = Client()
         self.clients.append(client)
         line = f"OPEN i{len(self.clients)} k{len(self.clients) % 3} c={profile},d=900,g=g"
-        client.tun = self.tunnels.arrived(client, read_opening(line.encode()))
+        client.tunnel_id = self.tunnels.request_arrived(client, parse_open_request(line.encode()))
 
     def _setup(self, pick: int, is_open: bool) -> int | None:
-        tuns = [
-            tun
-            for tun, setup in self.out.items()
-            if not setup.over and bool(self.tunnels.table.get(tun).up) == is_open
+        tunnel_ids = [
+            tunnel_id
+            for tunnel_id, setup in self.out.items()
+            if not setup.over and bool(self.tunnels.table.get(tunnel_id).is_open) == is_open
         ]
-        return tuns[pick % len(tuns)] if tuns else None
+        return tunnel_ids[pick % len(tunnel_ids)] if tunnel_ids else None
 
     def comes_up(self, pick: int) -> None:
-        tun = self._setup(pick, is_open=False)
-        if tun is not None:
-            self.out[tun].written = True
-            self.tunnels.setup_up(tun, b"UP r", self.now() - self.out[tun].began)
-            self.tunnels.lines_on(tun, [b"m"])
-            self.tunnels.lines_back(tun, [b"LOAD 0.5", b"LOAD none", b"e"])
+        tunnel_id = self._setup(pick, is_open=False)
+        if tunnel_id is not None:
+            self.out[tunnel_id].written = True
+            self.tunnels.setup_up(tunnel_id, b"UP r", self.now() - self.out[tunnel_id].began)
+            self.tunnels.lines_from_client(tunnel_id, [b"m"])
+            self.tunnels.lines_back(tunnel_id, [b"LOAD 0.5", b"LOAD none", b"e"])
 
     def fails(self, pick: int, outcome: Outcome) -> None:
-        tun = self._setup(pick, is_open=False)
-        if tun is not None:
-            self.ends(tun, outcome)
+        tunnel_id = self._setup(pick, is_open=False)
+        if tunnel_id is not None:
+            self.ends(tunnel_id, outcome)
 
-    def ends(self, tun: int, outcome: Outcome) -> None:
-        setup = self.out.pop(tun)
+    def ends(self, tunnel_id: int, outcome: Outcome) -> None:
+        setup = self.out.pop(tunnel_id)
         setup.over = True
-        self.tunnels.setup_over(tun, setup.ep, outcome, self.now() - setup.began, None, True)
+        self.tunnels.setup_over(tunnel_id, setup.backend_id, outcome, self.now() - setup.began, None, True)
 
     def box_ends(self, pick: int, outcome: Outcome) -> None:
-        tun = self._setup(pick, is_open=True)
-        if tun is not None:
-            self.ends(tun, outcome)
+        tunnel_id = self._setup(pick, is_open=True)
+        if tunnel_id is not None:
+            self.ends(tunnel_id, outcome)
 
     def leaves(self, pick: int) -> None:
-        held = [client for client in self.clients if client.tun >= 0 and client.said in ([], ["UP"])]
+        held = [client for client in self.clients if client.tunnel_id >= 0 and client.said in ([], ["UP"])]
         if held:
             client = held[pick % len(held)]
-            self.tunnels.client_ended(client.tun, abrupt=bool(pick % 2))
+            self.tunnels.client_closed(client.tunnel_id, abrupt=bool(pick % 2))
             client.said.append("LEFT")
 
     def lists(self, pick: int, standing: BackendState) -> None:
-        ep = pick % BOXES
-        self.listing[ep] = self.listing[ep]._replace(standing=standing)
-        self.boxes.changed(ListForm.CHANGES, [self.listing[ep]])
+        backend_id = pick % BOXES
+        self.listing[backend_id] = self.listing[backend_id]._replace(standing=standing)
+        self.boxes.changed(ListForm.CHANGES, [self.listing[backend_id]])
 
     def reports(self, pick: int, asked: float) -> None:
-        self.module.tell(self.module.balancer.probed, pick % BOXES, asked < 5, LoadReport(asked=asked))
+        self.policy_host.call(
+            self.policy_host.balancer.probed, pick % BOXES, asked < 5, LoadReport(asked=asked)
+        )
 
 
 class Broken(Balancer):
@@ -224,11 +234,11 @@
 
     told = 0
 
-    def _place(self, now: int, tun_id: int, tun: Any) -> None:
+    def _place(self, now: int, connection_id: int, connection: Any) -> None:
         self.told += 1
         if self.told % 3 == 0:
             raise RuntimeError("on purpose")
-        super()._place(now, tun_id, tun)
+        super()._place(now, connection_id, connection)
 
 
 def check_answers(client: Client) -> None:
@@ -274,9 +284,9 @@
         elif name == "fill":
             scene.full = arguments[0]
         elif name == "silent":
-            tun = scene._setup(arguments[0], is_open=True)
-            if tun is not None:
-                scene.tunnels.silent(tun)
+            tunnel_id = scene._setup(arguments[0], is_open=True)
+            if tunnel_id is not None:
+                scene.tunnels.silent(tunnel_id)
         else:
             getattr(scene, name)(*arguments)
         for client in scene.clients:
@@ -287,13 +297,13 @@
     for client in scene.clients:
         check_answers(client)
         assert client.said, "a client without an answer"
-    scene.tunnels.end_all()
+    scene.tunnels.close_all()
     scene.reactor.advance(0.01)
     assert scene.tunnels.table.used == 0, "every slot is back"
     assert not scene.tunnels.ids
     assert not scene.invariants.counts
     if not broken:
-        state = scene.module.balancer.state
+        state = scene.policy_host.balancer.state
         assert not (state.connections or state.waiting or state.in_flight), (
             "nothing is counted that is not there"
         )
@@ -305,12 +315,12 @@
 def test_a_setup_that_found_no_slot_is_not_counted_once_its_client_has_left() -> None:
     """Both in one turn of the reactor: the module counted it for as long as the relay ran."""
     scene = Scene()
-    for ep in range(BOXES):
-        scene.reports(ep, 0.1)
+    for backend_id in range(BOXES):
+        scene.reports(backend_id, 0.1)
     scene.full = True
     scene.comes("a")
     scene.leaves(0)
-    state = scene.module.balancer.state
+    state = scene.policy_host.balancer.state
     assert state.in_flight == 1
     scene.reactor.advance(0)
     assert (
@@ -323,8 +333,8 @@
 def test_a_module_that_fails_as_all_are_ended_leaves_nobody_without_an_answer() -> None:
     """Who waited was answered by the first failure, and the sweep broke off at the next of them."""
     scene = Scene()
-    for ep in range(BOXES):
-        scene.reports(ep, 0.1)
+    for backend_id in range(BOXES):
+        scene.reports(backend_id, 0.1)
     scene.reactor.advance(4)  # so they wait for a look
     for _ in range(3):
         scene.comes("a")
@@ -332,7 +342,7 @@
     def fails(*_: Any) -> None:
         raise RuntimeError("on purpose")
 
-    scene.module.balancer.client_gone = fails
-    scene.tunnels.end_all()
+    scene.policy_host.balancer.client_gone = fails
+    scene.tunnels.close_all()
     scene.reactor.advance(0.01)
     assert [client.said for client in scene.clients] == [["ERR"]] * 3
