--- a/cedarledge/failover/votes.py
+++ b/cedarledge/failover/votes.py
@@ -8,14 +8,12 @@
 restarts without stored state therefore votes only on slots on which its earlier instance cannot have voted:
 
 - A proposer asks for promises on slot n only when it knows the value of slot n - 1, so a majority had voted
-on
-  slot n - 1. Among as many other voters with their state as make a majority there is one of that majority.
-  The restarted voter asks for their status and does not vote on slots up to one past the highest slot on
-  which any of them voted.
-- When too few voters may vote on the open slot, nothing more can be chosen. A voter that gets this status
-from all
+  on slot n - 1. If as many other voters as make a majority still have their state, at least one of them was
+  in that majority. The restarted voter asks for their status and does not vote on slots up to one past the
+  highest slot on which any of them voted.
+- When too few voters may vote on the open slot, nothing more can be chosen. A voter that learns this from all
   others, in 2 consecutive rounds and from the same instances, resets the register to a slot far above all
-  slots that it knows of, and those instances may follow.
+  slots that it knows of; the other instances of those rounds may follow.
 """
 
 from __future__ import annotations
--- a/cedarledge/model/peers.py
+++ b/cedarledge/model/peers.py
@@ -54,7 +54,7 @@
 
 
 class Place(Seat):
-    """A seat whose machine is a Peers, and what was seen of it."""
+    """A seat whose machine is a Membership, and what was seen of it."""
 
     def __init__(self, world: World, fleet: Fleet, number: int, address: str, name: str) -> None:
         super().__init__(world, address)
--- a/cedarledge/peers/machine.py
+++ b/cedarledge/peers/machine.py
@@ -263,7 +263,7 @@
     def set_metadata(self, now: int, **fields: MetadataValue) -> None:
         """Changes fields of this relay's metadata, which other members see with the next update about it.
 
-        Raises ValueError, and changes nothing, if all fields together are too large.
+        Raises ValueError, and leaves the metadata as it is, if all fields together are too large.
         """
         self.now = now
         changed = {
@@ -297,9 +297,9 @@
         if self.left or self.silent:
             self.left = True
             return
-        farewell = encode(self.own_update(State.LEFT))
+        left_update = encode(self.own_update(State.LEFT))
         for member in self._random_members(8):
-            self._send(member.address, Kind.NEWS, priority_updates=[farewell])
+            self._send(member.address, Kind.NEWS, priority_updates=[left_update])
         self.left = True
 
     def view(self, now: int, first: int = 0, room: int = MAX_DATAGRAM_BYTES) -> View:
--- a/cedarledge/peers/messages.py
+++ b/cedarledge/peers/messages.py
@@ -64,9 +64,8 @@
     instance_id: Annotated[int, Meta(ge=0, lt=1 << 62)]  # random, drawn when its process starts
     incarnation: WrappingCounter
     state: State
-    accuser: Annotated[str, Meta(max_length=64, pattern=PRINTABLE_ASCII)] = (
-        ""  # name of the member that suspects it
-    )
+    # Name of the member that suspects it.
+    accuser: Annotated[str, Meta(max_length=64, pattern=PRINTABLE_ASCII)] = ""
     metadata: Metadata = {}
 
 
--- a/cedarledge/peers/shell.py
+++ b/cedarledge/peers/shell.py
@@ -79,11 +79,11 @@
         udp_socket.setblocking(False)
         try:
             udp_socket.bind(self.listen)
-        except OSError as why:
+        except OSError as error:
             udp_socket.close()
             if not self._bind_failure_logged:
                 logger.warning(
-                    "peers: cannot bind {}:{}, tried again each second: {}", *self.listen, why.strerror
+                    "peers: cannot bind {}:{}, tried again each second: {}", *self.listen, error.strerror
                 )
             self._bind_failure_logged = True
             self.timers.after(BIND_RETRY_INTERVAL, self._bind)
