--- a/cedarledge/__main__.py
+++ b/cedarledge/__main__.py
@@ -42,9 +42,9 @@
 
 def _joins(relay: Relay, config: RelayConfig, wanted: OperatorFile) -> None:
     if wanted.enabled_tables():
-        from cedarledge.fleet import join
+        from cedarledge.fleet import start_features
 
-        join(relay, config, wanted)
+        start_features(relay, config, wanted)
 
 
 def start(operator_file: str | None = None) -> int:
