--- a/cedarledge/__main__.py
+++ b/cedarledge/__main__.py
@@ -42,9 +42,9 @@
 
 def _join_peers(relay: Relay, config: RelayConfig, settings: OperatorFile) -> None:
     if settings.enabled_tables():
-        from cedarledge.fleet import join
+        from cedarledge.fleet import start_features
 
-        join(relay, config, settings)
+        start_features(relay, config, settings)
 
 
 def start(operator_file: str | None = None) -> int:
--- a/cedarledge/net/eventlog.py
+++ b/cedarledge/net/eventlog.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from cedarledge.net.interfaces import Observer
-from cedarledge.terms import Listed, ListForm, LoadReport, Outcome
+from cedarledge.terms import BackendEntry, ListForm, LoadReport, Outcome
 
 
 class EventLog(Observer):
@@ -90,7 +90,7 @@
         """Logs the end of a tunnel, with the time since it arrived."""
         self._log_event("ended", "tunnel.ended", tunnel=tunnel_id, took=took)
 
-    def listed(self, now: int, form: ListForm, entries: list[Listed]) -> None:
+    def listed(self, now: int, form: ListForm, entries: list[BackendEntry]) -> None:
         """Logs a change of the backend list with the number of entries, or its loss."""
         if form is ListForm.UNAVAILABLE:
             self._log_event("list", "list.lost")
@@ -104,5 +104,5 @@
             "box.probed",
             backend=self._backend_names[backend_id],
             answered=answered,
-            asked=report.asked,
+            asked=report.offered_load,
         )
--- a/cedarledge/net/handover.py
+++ b/cedarledge/net/handover.py
@@ -34,7 +34,7 @@
 from cedarledge.net.service import ServiceState, UnknownBackendError
 from cedarledge.net.timers import Timer
 from cedarledge.net.tunnels import Tunnels
-from cedarledge.settings import mark_of
+from cedarledge.settings import stable_hash
 from cedarledge.terms import MS, ListForm
 
 # Version of the protocol. A process that asks in another version is refused and starts without the old state.
@@ -214,7 +214,7 @@
 
 def socket_path(folder: Path, name: str, process: int | str = "") -> Path:
     """Returns the socket of a process of relay `name`, by default this one; "*" gives a pattern for all."""
-    return folder / f"cedarledge-{mark_of(name):x}-{process or os.getpid()}.sock"
+    return folder / f"cedarledge-{stable_hash(name):x}-{process or os.getpid()}.sock"
 
 
 class PeerProcess(Protocol):
--- a/cedarledge/net/learned_state.py
+++ b/cedarledge/net/learned_state.py
@@ -21,10 +21,10 @@
     """Returns loads by profile, capacities by kind of host, and the rate at which backends may be filled."""
     state = balancer.state
     return {
-        "loads": [_present_values(load, now) for load in state.loads],
+        "loads": [_present_values(load, now) for load in state.class_loads],
         "capacity": [
             [kinds.names[kind], *_present_values(capacity, now)]
-            for kind, capacity in state.capacity.items()
+            for kind, capacity in state.host_type_capacity.items()
             if kind >= 0
         ],
         "rate": state.fill_rate,
@@ -40,14 +40,14 @@
     loads = [_checked_values(pair, 2) for pair in learned["loads"]]
     capacity = [(kinds[name], _checked_values(pair, 2)) for name, *pair in learned["capacity"]]
     (rate,) = _checked_values([learned["rate"]], 1)
-    if len(loads) != len(state.loads):
+    if len(loads) != len(state.class_loads):
         raise ValueError("loads of other profiles")
-    for load, pair in zip(state.loads, loads, strict=True):
+    for load, pair in zip(state.class_loads, loads, strict=True):
         load.add(now, *pair)
     # Until this process holds its share of the connections, its own measurements would displace these values.
     state.fill_rate, state.unrepresentative_until = rate, state.settling_until
     for kind, pair in capacity:
-        state.capacity[kind].add(now, *pair)
+        state.host_type_capacity[kind].add(now, *pair)
 
 
 def _present_values(ratio: DecayingRatio, now: int) -> Values:
--- a/cedarledge/net/policy_host.py
+++ b/cedarledge/net/policy_host.py
@@ -38,7 +38,7 @@
         self.boxes = boxes
         self.watching = watching
         # Attempts and answers concern one tunnel only and go straight to Tunnels.
-        self.send, self.decline = tunnels.send, tunnels.decline
+        self.attempt, self.reject = tunnels.send, tunnels.decline
         self.close_with_error, self.move = tunnels.close_with_error, tunnels.move
 
     def start(self, settings: DeploymentSettings, make_balancer: MakeBalancer = Balancer) -> None:
@@ -47,7 +47,7 @@
 
     def random(self) -> float:
         """Returns a number in [0, 1) from the relay's only source of random numbers."""
-        return self.balancer.chance()
+        return self.balancer.random()
 
     def call(self, method: Callable[..., None], *args: Any) -> bool:
         """Calls a method of the balancer with the current time and `args`; returns whether it succeeded.
@@ -68,7 +68,7 @@
         external_view = self.external_view._replace(**fields)
         if external_view != self.external_view:
             self.external_view = external_view
-            self.call(self.balancer.knows, external_view)
+            self.call(self.balancer.external_view_changed, external_view)
 
     # -- the other methods of terms.PolicyHost -----------------------------------------------------
 
@@ -76,15 +76,15 @@
         """Sends a probe to a backend."""
         self.backends.probe(backend_id, self.boxes.addresses[backend_id])
 
-    def wake(self, delay: int, token: int) -> None:
+    def set_timer(self, delay: int, token: int) -> None:
         """Calls the balancer with the token after a delay in ns."""
         # Received data is read first: the balancer takes an expired probe timer for an unanswered probe.
         self.timers.after_reading(delay, self._on_timer, token)
 
     def _on_timer(self, token: int) -> None:
-        self.call(self.balancer.woke, token)
+        self.call(self.balancer.timer_fired, token)
 
-    def watch(self) -> None:
+    def request_list(self) -> None:
         """Starts to follow the list of backends."""
         self.watching.start()
 
--- a/cedarledge/net/relay.py
+++ b/cedarledge/net/relay.py
@@ -105,7 +105,7 @@
             waits = [max(MS, int(row["client_timeout"]) * US or LONGEST_STOP) for row in settings["profiles"]]
             # Clients' lines come back at once however slow the backend's messages are; they show hangs alone.
             facts = deployment_settings(settings, config.seed, self.clock(), self.boxes.zones)._replace(
-                delays_told=False
+                message_delays_known=False
             )
             allowed, reports = settings["allowed"], settings.get("load_report") or {}
             connect_within = int(allowed["connect_timeout"]) * US or LONGEST_STOP  # 0: no limit is told
@@ -115,8 +115,8 @@
                 self.timers,
                 config.discovery,
                 int(config.known["revision"]),
-                facts.ask_every,
-                not facts.must_ask,
+                facts.list_request_interval,
+                not facts.requests_list,
                 self.policy_host.random,
                 self.boxes.told,
                 self.boxes.lost,
@@ -140,7 +140,7 @@
                 self.tunnels,
                 self.probe_ended,
                 ReportReader(settings),
-                Paces((facts.tightest or min(goals)) // 5),
+                Paces((facts.shortest_message_goal or min(goals)) // 5),
                 connect_within,
                 # A probe that takes longer than the tightest setup may tells nothing good of its backend.
                 probe_within=min(goals),
@@ -151,7 +151,7 @@
             tells = (settings.get("domain") or {}).get("tells_delay")
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as why:
             raise BadConfigError(f"the settings can't be used: {why!r}") from why
-        slow = facts.tightest // 3 if tells else 0
+        slow = facts.shortest_message_goal // 3 if tells else 0
         self.reported, in_lines = (Delays(self.clock, slow, self.message_delayed) for _ in range(2))
         self.tunnels.connect(self.backends, Echoes(self.clock, self.timers, in_lines, self.tunnels.silent))
         self.policy_host.connect(self.tunnels, self.backends, self.boxes, self.watching)
@@ -166,7 +166,7 @@
         self.listeners: list[Observer] = []
         self.policy_host.start(facts, balancer)
         self.boxes.take_in(ListForm.RESTORED, config.known["members"])
-        if not facts.must_ask:
+        if not facts.requests_list:
             # Where the module is told of changes unasked, it leaves the asking to its host.
             self.watching.start()
 
@@ -202,14 +202,14 @@
 
     def message_delayed(self, backend_id: int, delay: int) -> None:
         logger.debug("a message takes {} ms at {}", delay // MS, self.boxes.backend_ids.names[backend_id])
-        self.policy_host.call(self.policy_host.balancer.delay_told, backend_id, delay)
+        self.policy_host.call(self.policy_host.balancer.message_delay_changed, backend_id, delay)
 
     def probe_ended(self, backend_id: int, answered: bool, report: LoadReport) -> None:
         logger.debug("probe of {}: {}, {}", self.boxes.backend_ids.names[backend_id], answered, report)
         if report.service_time is not None:
             # The clients' lines don't tell how long messages take; what a backend says of itself does.
             self.reported.took(backend_id, int(report.service_time))
-        self.policy_host.call(self.policy_host.balancer.probed, backend_id, answered, report)
+        self.policy_host.call(self.policy_host.balancer.probe_ended, backend_id, answered, report)
         self.observers.notify("probed", backend_id, answered, report)
 
     def add_observer(self, hearer: Observer) -> None:
@@ -274,7 +274,7 @@
         ):
             wait = int(LATE * self.stop_within)
             within = self.stop_within + KILL_LATER - wait
-        self.timers.after(wait, self.policy_host.call, self.policy_host.balancer.stopping, within)
+        self.timers.after(wait, self.policy_host.call, self.policy_host.balancer.drain_started, within)
         # Where this process was paused, connections that came meanwhile wait to be accepted, and lines to be
         # read: looked at first, as the end would reset them without an answer.
         self.timers.after_reading(STOP_LOOK, self._end_if_empty, self.clock() + newcomers_for)
--- a/cedarledge/net/service.py
+++ b/cedarledge/net/service.py
@@ -80,7 +80,7 @@
         self.frontend.out_of_service = True
         logger.info("out of service: moving {} tunnels to other relays", self.tunnels.table.used)
         if not self.stopping:
-            self.policy_host.call(self.policy_host.balancer.stopping, MOVE_ALL_WITHIN)
+            self.policy_host.call(self.policy_host.balancer.drain_started, MOVE_ALL_WITHIN)
             self._end_all_timer = self.timers.after_reading(END_ALL_AFTER, self.tunnels.close_all)
 
     def return_to_service(self) -> None:
@@ -91,7 +91,7 @@
         logger.info("in service again; {} tunnels are still open", self.tunnels.table.used)
         if not self.stopping:
             self.timers.cancel(self._end_all_timer)
-            self.policy_host.call(self.policy_host.balancer.staying)
+            self.policy_host.call(self.policy_host.balancer.drain_cancelled)
 
     def take_backend_offline(self, name: str) -> None:
         """Sends nothing new to a backend until it is brought online; raises UnknownBackendError."""
--- a/cedarledge/net/tunnels.py
+++ b/cedarledge/net/tunnels.py
@@ -19,7 +19,7 @@
 from cedarledge.net.request_guard import RequestGuard, RequestRecord
 from cedarledge.net.slots import NoFreeSlotError, SlotTable
 from cedarledge.policy.estimators import DecayingSum
-from cedarledge.terms import MS, SECOND, LoadReport, Outcome, ProfileRow
+from cedarledge.terms import MS, SECOND, LoadReport, Outcome, RequestClassSettings
 
 # A client that would wait for so many times its profile's client timeout is none of ours.
 LONGER = 2
@@ -92,7 +92,7 @@
         tenants: Mapping[str, int],
         waits: Sequence[int],
         connect_within: int,
-        classes: Sequence[ProfileRow] = (),
+        classes: Sequence[RequestClassSettings] = (),
     ) -> None:
         self.context = context
         self.guard = RequestGuard(
@@ -223,7 +223,7 @@
         if open_request.returning:
             self.net_returned_clients.add(self.clock(), 1)
         if not self.policy_host.call(
-            self.policy_host.balancer.tunnel_arrived,
+            self.policy_host.balancer.connection_requested,
             tunnel_id,
             profile,
             tenant,
@@ -258,7 +258,7 @@
             tunnel.request.attempt_ended(outcome)
             if tunnel.known_to_policy:
                 self.policy_host.call(
-                    self.policy_host.balancer.setup_ended,
+                    self.policy_host.balancer.attempt_ended,
                     tunnel_id,
                     setup.backend_id,
                     True,
@@ -287,7 +287,7 @@
         else:
             if age < ADOPT_AGAIN:
                 # The first call may be put off, as all relays start together; who waits for it may not.
-                self.policy_host.watch()
+                self.policy_host.request_list()
             self.timers.after(ADOPT_AGAIN, self._adopt, tunnel_id)
 
     # -- what the backends' side tells -------------------------------------------------------------
@@ -333,12 +333,12 @@
         client.transport.registerProducer(setup.transport, True)
         setup.transport.registerProducer(client.transport, True)
         if tunnel.known_to_policy:
-            self.policy_host.call(self.policy_host.balancer.opened, tunnel_id, took)
+            self.policy_host.call(self.policy_host.balancer.connection_opened, tunnel_id, took)
         else:
             open_request = tunnel.open_request
             tunnel.known_to_policy = True
             self.policy_host.call(
-                self.policy_host.balancer.adopted,
+                self.policy_host.balancer.connection_adopted,
                 tunnel_id,
                 tunnel.profile,
                 tunnel.tenant,
@@ -363,7 +363,7 @@
             except ValueError:
                 self.context.rate_limited_log.about("backend", f"no load: {line[:80]!r}")
                 continue
-            self.policy_host.call(self.policy_host.balancer.load_told, tunnel_id, load)
+            self.policy_host.call(self.policy_host.balancer.load_changed, tunnel_id, load)
 
     def setup_over(
         self,
@@ -378,7 +378,7 @@
         if tunnel is None:
             # No slot was found for it, and its client has left since. The module counts it still.
             self.policy_host.call(
-                self.policy_host.balancer.setup_ended, tunnel_id, backend_id, True, outcome, took, report
+                self.policy_host.balancer.attempt_ended, tunnel_id, backend_id, True, outcome, took, report
             )
             return
         logger.debug(
@@ -412,7 +412,7 @@
                 self.close_with_error(tunnel_id)
             return
         if not self.policy_host.call(
-            self.policy_host.balancer.setup_ended, tunnel_id, backend_id, was_open, outcome, took, report
+            self.policy_host.balancer.attempt_ended, tunnel_id, backend_id, was_open, outcome, took, report
         ):
             self.fail_request(tunnel_id)
         if was_open:
@@ -426,13 +426,19 @@
         tunnel = self.table.get(tunnel_id)
         self._counts["silent"] += 1
         logger.info("silent: {}", self.guard.describe(tunnel.request))
-        self.policy_host.call(self.policy_host.balancer.silent, tunnel_id)
+        self.policy_host.call(self.policy_host.balancer.connection_unresponsive, tunnel_id)
 
     # -- the end of a tunnel -----------------------------------------------------------------------
 
     def _moved(self, tunnel_id: int, backend_id: int, took: int) -> None:
         self.policy_host.call(
-            self.policy_host.balancer.setup_ended, tunnel_id, backend_id, True, Outcome.CANCELLED, took, None
+            self.policy_host.balancer.attempt_ended,
+            tunnel_id,
+            backend_id,
+            True,
+            Outcome.CANCELLED,
+            took,
+            None,
         )
         self._free(tunnel_id)
 
--- a/cedarledge/wirehost/wire.py
+++ b/cedarledge/wirehost/wire.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from cedarledge.policy import Balancer
-from cedarledge.settings import US, Indices, ReportReader, deployment_settings, mark_of
-from cedarledge.terms import Listed, LoadReport, Outcome
+from cedarledge.settings import US, Indices, ReportReader, deployment_settings, stable_hash
+from cedarledge.terms import BackendEntry, LoadReport, Outcome
 from cedarledge.wirehost.words import FORMS, OUTCOMES, STANDINGS
 
 RETURNING = 2 | 16  # marks: a client's repeat, a client back from a break or a move
@@ -42,7 +42,7 @@
 
     # -- the host interface ------------------------------------------------------------------
 
-    def send(self, connection_id: int, backend_id: int, timeout: int) -> None:
+    def attempt(self, connection_id: int, backend_id: int, timeout: int) -> None:
         self.running_attempts[connection_id] += 1
         self.out.append(
             [
@@ -54,7 +54,7 @@
             ]
         )
 
-    def decline(self, connection_id: int, come_back: int) -> None:
+    def reject(self, connection_id: int, come_back: int) -> None:
         self.out.append(["turn_away", self.relay, self.wire_ids[connection_id], come_back // US])
         self._over(connection_id)
 
@@ -68,10 +68,10 @@
     def probe(self, backend_id: int) -> None:
         self.out.append(["poll", self.relay, self.backend_ids.names[backend_id]])
 
-    def wake(self, delay: int, token: int) -> None:
+    def set_timer(self, delay: int, token: int) -> None:
         self.out.append(["timer", self.relay, delay // US, token])
 
-    def watch(self) -> None:
+    def request_list(self) -> None:
         self.out.append(["subscribe", self.relay, True])
 
     def log(self, text: str) -> None:
@@ -104,7 +104,7 @@
 
     def endpoints(self, now: int, form: str, _serial: Any = None, entries: Any = None) -> None:
         listed = [
-            Listed(
+            BackendEntry(
                 self.backend_ids[backend],
                 cluster,
                 self.zones[site],
@@ -112,7 +112,7 @@
                 float(weight or 0),
                 STANDINGS[readiness],
                 (launched or 0) * US,
-                mark_of(backend),
+                stable_hash(backend),
             )
             for cluster, site, readiness, family, weight, backend, launched in (
                 (*entry, None) if len(entry) == 6 else entry for entry in entries or ()
@@ -133,7 +133,7 @@
         marks: Any = 0,
     ) -> None:
         hint = work_hint if marks and marks & 1 else None
-        self.balancer.tunnel_arrived(
+        self.balancer.connection_requested(
             now,
             self._enter(msg_id),
             self._profile(type_),
@@ -160,7 +160,7 @@
     ) -> None:
         connection_id = self._enter(msg_id)
         self.running_attempts[connection_id] = 1
-        self.balancer.adopted(
+        self.balancer.connection_adopted(
             now,
             connection_id,
             self._profile(type_),
@@ -174,7 +174,7 @@
     def started(self, now: int, msg_id: int, _shot: int, cost_time: int, _backend: str) -> None:
         connection_id = self.connection_ids.get(msg_id)
         if connection_id is not None:
-            self.balancer.opened(now, connection_id, cost_time * US)
+            self.balancer.connection_opened(now, connection_id, cost_time * US)
 
     def verdict(
         self,
@@ -195,7 +195,7 @@
         if ended:
             self.closed.add(connection_id)
         report = self.read_report(server_stats) if server_stats else None
-        self.balancer.setup_ended(
+        self.balancer.attempt_ended(
             now, connection_id, self.backend_ids[backend], bool(ended), outcome, cost_time * US, report
         )
         if connection_id in self.running_attempts:
@@ -206,9 +206,9 @@
         if connection_id is None:
             return
         if kind == 1:
-            self.balancer.load_told(now, connection_id, amount)
+            self.balancer.load_changed(now, connection_id, amount)
         elif kind == 2:
-            self.balancer.delay_told(now, self.backend_ids[backend], int(amount * 1_000_000))
+            self.balancer.message_delay_changed(now, self.backend_ids[backend], int(amount * 1_000_000))
 
     def expired(self, now: int, msg_id: int) -> None:
         connection_id = self.connection_ids.get(msg_id)
@@ -218,10 +218,10 @@
 
     def status_back(self, now: int, backend: str, how: str, _cost_time: int = 0, stats: Any = None) -> None:
         report = self.read_report(stats) if stats else LoadReport()
-        self.balancer.probed(now, self.backend_ids[backend], OUTCOMES[how] is Outcome.DONE, report)
+        self.balancer.probe_ended(now, self.backend_ids[backend], OUTCOMES[how] is Outcome.DONE, report)
 
     def elapsed(self, now: int, token: int) -> None:
-        self.balancer.woke(now, token)
+        self.balancer.timer_fired(now, token)
 
     def memo(self, now: int, by: int, payload: Any = None) -> None:
         """Peers' messages carry nothing yet: the decisions do without them."""
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -35,7 +35,9 @@
             clock=lambda: host.now,
             call=call,
             balancer=host.balancer,
-            update_external_view=lambda aside: host.balancer.knows(host.now, ExternalView(aside=aside)),
+            update_external_view=lambda excluded: host.balancer.external_view_changed(
+                host.now, ExternalView(excluded=excluded)
+            ),
         )
         self.boxes = BoxList(policy_host, SimpleNamespace(notify=lambda *_: None), {"dcs": ["z"]})
         self.told(True, *[self.entry(name) for name in NAMES])
@@ -118,7 +120,7 @@
         assert not {boxes.backend_ids.names[ep] for _, ep in host.probes[probes:]} & banned
         # What is not banned, and up, is never lost by it.
         for ep, entry in host.listing.items():
-            assert boxes.backend_ids.names[ep] not in banned or entry.standing is not BackendState.READY
+            assert boxes.backend_ids.names[ep] not in banned or entry.state is not BackendState.READY
 
 
 def test_a_ban_on_all_is_followed_where_a_list_of_all_to_set_aside_is_not() -> None:
@@ -216,8 +218,8 @@
     # The host asks once more before it writes (Tunnels.may_send), and says that it was not sent.
     assert ep not in site.boxes.ready
     host.end(tun, Outcome.NOT_SENT)
-    while tun in host.balancer.state.waiting:
-        host.report(host.balancer.state.waiting[tun].backend_id, 0.1)
+    while tun in host.balancer.state.awaiting_probe:
+        host.report(host.balancer.state.awaiting_probe[tun].backend_id, 0.1)
     assert host.sends[-1][2] != ep, "it goes elsewhere"
 
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -9,9 +9,9 @@
 from pytest import approx, mark
 
 from cedarledge.policy import utilization
-from cedarledge.policy.cells import digest_of, draw_of
+from cedarledge.policy.cells import hash64, unit_hash
 from cedarledge.policy.placement import SKIP_FACTOR
-from cedarledge.policy.probing import MOST_PROBES
+from cedarledge.policy.probing import MAX_PROBES_PER_PLACEMENT
 from cedarledge.policy.state import TICK
 from cedarledge.terms import BackendState, ListForm, Outcome
 
@@ -21,7 +21,7 @@
 
 
 def test_a_key_keeps_its_cell_and_its_top_ranked_member() -> None:
-    host = host_with_backends(6, ranked=True)
+    host = host_with_backends(6, weighted=True)
     host.tell(ListForm.CHANGES, list_entry(4, weight=9.0), list_entry(5, weight=9.0))
     eps = set()
     for _ in range(4):
@@ -83,7 +83,7 @@
 def test_slow_messages_flag_a_member_before_its_next_probe() -> None:
     host = host_with_backends(2, cells=1)
     tun = host.arrive(key="one")
-    host.balancer.delay_told(host.now, placed(host, tun), 400 * MS)
+    host.balancer.message_delay_changed(host.now, placed(host, tun), 400 * MS)
     assert placed(host, host.arrive(key="one")) != placed(host, tun)
 
 
@@ -118,7 +118,7 @@
 def test_a_list_whose_watch_was_reset_is_asked_for_before_what_it_missed_counts(every: int) -> None:
     """Where settings tell 2 s, a first wait of up to 3 s had drains followed a second too late."""
     for seed in range(20):
-        host = host_with_backends(2, ask_every=every * MS, seed=seed)
+        host = host_with_backends(2, list_request_interval=every * MS, seed=seed)
         host.run(5 * SECOND)
         for lost in range(6):
             asked = len(host.watches)
@@ -135,7 +135,7 @@
 def test_relays_that_start_together_do_not_ask_for_the_list_together() -> None:
     first = []
     for me in range(40):
-        host = host_with_backends(4, relays=40, me=me, seed=me)
+        host = host_with_backends(4, relays=40, relay_index=me, seed=me)
         host.run(5 * SECOND)
         first += host.watches
     # Where a call takes a tenth of a second they don't stand in line for long.
@@ -159,7 +159,7 @@
 
 
 def test_steady_probes_do_not_slow_down_where_a_relay_holds_clients_at_many_members() -> None:
-    host = host_with_backends(6, delays_told=False)
+    host = host_with_backends(6, message_delays_known=False)
     for ep in range(6):
         host.adopt(ep)
     host.run(12 * SECOND)
@@ -167,7 +167,7 @@
 
 
 def test_a_relay_that_holds_clients_at_few_members_looks_at_those_first_and_at_the_others_seldom() -> None:
-    host = host_with_backends(12, delays_told=False, relays=40)
+    host = host_with_backends(12, message_delays_known=False, relays=40)
     for ep in (3, 8):
         host.adopt(ep)
     host.run(40 * SECOND)
@@ -248,7 +248,7 @@
 
 
 def test_a_cold_member_is_filled_though_most_relays_are_come_to_seldom() -> None:
-    hosts = [host_with_backends(4, 0.5, cells=1, relays=40, me=me, seed=me) for me in range(40)]
+    hosts = [host_with_backends(4, 0.5, cells=1, relays=40, relay_index=me, seed=me) for me in range(40)]
     for me, host in enumerate(hosts):
         for ep in range(4):
             host.adopt(ep)
@@ -267,7 +267,7 @@
 
 
 def test_all_relays_together_empty_a_draining_member_bit_by_bit() -> None:
-    hosts = [host_with_backends(4, 0.5, relays=40, me=me, seed=me) for me in range(40)]
+    hosts = [host_with_backends(4, 0.5, relays=40, relay_index=me, seed=me) for me in range(40)]
     left = []
     for host in hosts:
         host.adopt(0)
@@ -325,8 +325,10 @@
     crowded = placed(host, tuns[0])
     for tun in tuns:
         if placed(host, tun) == crowded:
-            host.balancer.load_told(host.now, tun, 250.0)
-    assert utilization.current(host.balancer.state, host.now, host.balancer.state.backends[crowded]) > 1
+            host.balancer.load_changed(host.now, tun, 250.0)
+    assert (
+        utilization.estimated_load(host.balancer.state, host.now, host.balancer.state.backends[crowded]) > 1
+    )
     host.probes.clear()
     host.run(4 * TICK)
     assert not host.moves and crowded in [ep for _, ep in host.probes]
@@ -348,7 +350,7 @@
                 host.open(tun)
             members = host.balancer.state.backends.values()
             assert [member.is_ejected(host.now) for member in members].count(True) == aside
-    host = host_with_backends(5, cells=1, most_setups=1)
+    host = host_with_backends(5, cells=1, max_attempts=1)
     host.end(host.arrive(key="one"), Outcome.ERROR)
     assert [member.ejections for member in host.balancer.state.backends.values()].count(1) == 1
 
@@ -360,7 +362,7 @@
     host.told[top] = 2.0
     host.probes.clear()
     assert placed(host, host.arrive(key="one")) != top
-    assert 2 <= len(host.probes) <= MOST_PROBES
+    assert 2 <= len(host.probes) <= MAX_PROBES_PER_PLACEMENT
 
 
 def test_a_look_that_is_not_answered_sends_the_tunnel_elsewhere_within_its_goal() -> None:
@@ -377,7 +379,7 @@
 def test_hundreds_of_relays_move_their_part_of_a_sick_members_clients_together() -> None:
     moved = 0
     for me in range(200):
-        host = host_with_backends(8, 0.4, relays=200, me=me, seed=me)
+        host = host_with_backends(8, 0.4, relays=200, relay_index=me, seed=me)
         host.adopt(3, 100.0)
         host.run(2500 * MS)
         host.report(3, 1.6)
@@ -402,7 +404,7 @@
         host.run(SECOND)
         top = host.balancer.state.backends[placed(host, host.arrive(key="one", hint=100.0))]
         # What one more connection like those it holds adds, in loads of the member.
-        seen[relays] = (utilization.current(host.balancer.state, host.now, top) - 0.3) / 0.3 * relays
+        seen[relays] = (utilization.estimated_load(host.balancer.state, host.now, top) - 0.3) / 0.3 * relays
     assert 0.6 * 4 < seen[4] <= 4
     assert 1 <= seen[400] < 0.1 * 400
 
@@ -411,7 +413,7 @@
     for group in "abcdef":
         places = set()
         for me in range(6):
-            host = host_with_backends(8, cells=2, relays=6, me=me, seed=me, grouped=True)
+            host = host_with_backends(8, cells=2, relays=6, relay_index=me, seed=me, grouped=True)
             places.add(placed(host, host.arrive(key=f"one {me}", group=group)))
         assert len(places) == 1
 
@@ -445,11 +447,11 @@
     host.now += 16 * SECOND
     for ep in range(15, 20):
         host.report(ep, 0.4)
-    assert utilization.fleet(host.balancer.state, host.now) < 0.5
+    assert utilization.fleet_load(host.balancer.state, host.now) < 0.5
 
 
 def test_the_own_location_comes_first_where_a_crossing_is_dear_until_it_is_nearly_full() -> None:
-    host = host_with_backends(8, 0.3, cells=4, crossing=0.1, zone=1)
+    host = host_with_backends(8, 0.3, cells=4, cross_zone_cost=0.1, zone=1)
     host.run(SECOND)
 
     def zones(name: str) -> set[int]:
@@ -470,7 +472,7 @@
         host.run(SECOND)
         for ep in range(6):
             host.report(ep, load if ep != home else 0.93)
-        host.balancer.state.fleet_load_until, host.balancer.state.shed_fraction = 0, 0.0
+        host.balancer.state.fleet_load_expires_at, host.balancer.state.shed_fraction = 0, 0.0
         assert (placed(host, host.arrive(key="two", group="g")) == home) is stays
 
 
@@ -520,7 +522,7 @@
 
 def test_moves_take_the_groups_that_rank_the_member_lowest() -> None:
     def place(group: str) -> int:
-        return sorted(range(4), key=lambda ep: -draw_of(digest_of(group), ep)).index(0)
+        return sorted(range(4), key=lambda ep: -unit_hash(hash64(group), ep)).index(0)
 
     names = [f"group {number}" for number in range(100)]
     first, last = (next(name for name in names if place(name) == wanted) for wanted in (0, 3))
@@ -590,11 +592,11 @@
             for ep in range(4):
                 host.report(ep, 0.5)
         host.balancer.state.settling_until = 0
-        host.balancer.stopping(host.now, SECOND)
+        host.balancer.drain_started(host.now, SECOND)
         if comes_back:
-            host.balancer.staying(host.now)
+            host.balancer.drain_cancelled(host.now)
         else:
-            host.balancer.state.stop_by = 0
+            host.balancer.state.drain_deadline = 0
         before = len(host.declines)
         for number in range(30):
             tun = host.arrive(hint=400.0, key=f"back{number}")
@@ -608,7 +610,7 @@
     host = host_with_backends()
     tun = host.arrive()
     host.open(tun)
-    host.balancer.stopping(host.now, SECOND)
+    host.balancer.drain_started(host.now, SECOND)
     host.now += 300 * MS
     late = host.arrive()
     assert not host.requests[late].answered
@@ -617,7 +619,7 @@
     assert sorted(host.moves) == [tun, late]
     gone = host.arrive()
     assert host.requests[gone].answered and not host.requests[gone].setups
-    host.balancer.staying(host.now)
+    host.balancer.drain_cancelled(host.now)
     host.end_moved()
     back = host.arrive()
     host.open(back)
@@ -631,8 +633,8 @@
     balancer = host.balancer
 
     def learned() -> list[float]:
-        balancer.state.fleet_load_until = 0
-        utilization.fleet(balancer.state, host.now)
+        balancer.state.fleet_load_expires_at = 0
+        utilization.fleet_load(balancer.state, host.now)
         return [
             balancer.state.fill_rate,
             *(utilization.capacity(balancer.state, host.now, balancer.state.backends[ep]) for ep in range(2)),
@@ -641,12 +643,12 @@
     learn_loads(host)
     before = learned()
     assert min(before) > 0
-    balancer.stopping(host.now, SECOND)
+    balancer.drain_started(host.now, SECOND)
     host.run(2 * SECOND)
     host.end_moved()
     for back in (False, True):
         if back:
-            balancer.staying(host.now)
+            balancer.drain_cancelled(host.now)
         for _ in range(8):
             host.now += 500 * MS
             for ep in range(2):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -805,11 +805,13 @@
     host.answers = False
     host.run(4 * SECOND)
     gone = host.arrive()
-    seen = host.balancer.state.waiting[gone]
+    seen = host.balancer.state.awaiting_probe[gone]
     host.balancer.client_gone(host.now, gone)
     host.requests[gone].answered = True
     host.run(SECOND)
-    assert not seen.busy_until and not host.balancer.state.waiting and not host.balancer.state.connections
+    assert (
+        not seen.busy_until and not host.balancer.state.awaiting_probe and not host.balancer.state.connections
+    )
 
 
 def test_a_request_that_was_never_sent_uses_no_slow_start_budget() -> None:
@@ -1187,7 +1189,7 @@
         return round(clock.seconds() * SECOND)
 
     timers = Timers(clock, now)
-    policy_host = SimpleNamespace(call=lambda *_: None, balancer=SimpleNamespace(stopping=None))
+    policy_host = SimpleNamespace(call=lambda *_: None, balancer=SimpleNamespace(drain_started=None))
     tunnels = SimpleNamespace(table=SimpleNamespace(used=1), close_all=lambda: sweeps.append(now()))
     service = ServiceState(timers, policy_host, None, tunnels, None, SimpleNamespace(out_of_service=False))
     service.leave_service()
--- a/tests/test_policy_groups.py
+++ b/tests/test_policy_groups.py
@@ -16,17 +16,17 @@
 
 def zoned_fleet(zones: int, zone: int, **other: object) -> RuleCheckingHost:
     """Twelve backends at load 0.3, two cells a zone, before a relay in one of the zones."""
-    told = {"grouped": True, "crossing": 0.2, "relays": 60, "zones": zones} | other
-    host = RuleCheckingHost(make_settings(zone=zone, me=zone, seed=zone, **told))
+    told = {"grouped": True, "cross_zone_cost": 0.2, "relays": 60, "zone_count": zones} | other
+    host = RuleCheckingHost(make_settings(zone=zone, relay_index=zone, seed=zone, **told))
     backends = [
         list_entry(number)._replace(zone=number % zones, cell=number % (2 * zones)) for number in range(12)
     ]
     host.tell(ListForm.RESTORED, *backends)
     for backend in backends:
-        host.report(backend.ep, 0.3)
+        host.report(backend.backend_id, 0.3)
     host.run(SECOND)
     for backend in backends:
-        host.report(backend.ep, 0.3)
+        host.report(backend.backend_id, 0.3)
     return host
 
 
@@ -68,7 +68,7 @@
         "safety": {"cold_from": 0.3, "warm_within": 9_000_000, "fall_multiple": 3, "overload_for": 2_000_000},
         "profiles": [{"name": "a", "setup_goal": 300_000, "client_timeout": 1_000_000, "credit": 1}],
     }
-    assert deployment_settings(told, 1, 0, {None: 0}).zones == 3
+    assert deployment_settings(told, 1, 0, {None: 0}).zone_count == 3
 
 
 @mark.parametrize(("others", "moves"), [(0.66, True), (0.85, False)])
@@ -82,7 +82,7 @@
     host.run(3 * SECOND)
     for backend_id in range(8):
         host.report(backend_id, 1.1 if backend_id == 0 else others)
-    host.balancer.state.fleet_load_until = 0
+    host.balancer.state.fleet_load_expires_at = 0
     host.run(2 * TICK)
     assert bool(host.moves) is moves
 
@@ -120,16 +120,18 @@
 def test_backends_of_a_kind_whose_capacity_is_unknown_count_like_the_others() -> None:
     """They weighed 1 beside millions, in whatever unit loads came, so a relay saw its own backends alone."""
     host = RuleCheckingHost(make_settings(relays=2))
-    host.tell(ListForm.RESTORED, *(list_entry(number)._replace(kind=number // 4) for number in range(8)))
+    host.tell(ListForm.RESTORED, *(list_entry(number)._replace(host_type=number // 4) for number in range(8)))
     state = host.balancer.state
     for backend_id in range(4):
         host.adopt(backend_id, hint=20_000.0)
     host.run(SECOND)
     for backend_id in range(8):
-        host.balancer.probed(host.now, backend_id, True, LoadReport(asked=0.9 if backend_id < 4 else 0.1))
-    state.fleet_load_until = 0
-    assert state.capacity[1].weight.read(host.now) == 0
-    assert utilization.fleet(state, host.now) == approx(0.5, abs=0.05)
+        host.balancer.probe_ended(
+            host.now, backend_id, True, LoadReport(offered_load=0.9 if backend_id < 4 else 0.1)
+        )
+    state.fleet_load_expires_at = 0
+    assert state.host_type_capacity[1].weight.read(host.now) == 0
+    assert utilization.fleet_load(state, host.now) == approx(0.5, abs=0.05)
 
 
 def test_with_no_reports_at_all_cold_backends_get_a_careful_part_of_their_budget() -> None:
