--- a/cedarledge/net/clients.py
+++ b/cedarledge/net/clients.py
@@ -1,4 +1,4 @@
-"""The clients' side: the listener, PING, OPEN and its answers, MOVE."""
+"""Client connections: the listener, PING, OPEN and its answers, and MOVE."""
 
 from __future__ import annotations
 
@@ -14,107 +14,116 @@
 from cedarledge.net.links import ConnectionContext, Link
 from cedarledge.terms import MS
 
-# How long a connection may stand without a whole OPEN: who can't be dealt with is owed an end within 3 s.
+# How long a connection may last without a complete OPEN line. The platform requires that a client that does
+# not follow the protocol is disconnected within 3 s.
 OPEN_LINE_TIMEOUT = 2500 * MS
-# Connections that are not tunnels yet, or no longer, and probes: what tunnels must leave free.
+# Slots that tunnels leave free for probes and for connections that are not tunnels yet or no longer.
 RESERVED_SLOTS = 48
-# With less room than the first each newcomer takes the place of an idle one, with less than the last it is
-# refused.
+# With no more free slots than the first number, each new connection evicts an idle one; with no more than the
+# second, it is refused.
 EVICTION_FREE_SLOTS, REFUSAL_FREE_SLOTS = 40, 8
-WAIT = re.compile(rb"(?:^|(?<=,))d=(\d{1,9})(?=,|$)")
-# No id, key or group comes near this. They stay in tables for as long as a tunnel lasts, keys in the module's
-# for longer, and a stranger could fill these with lines of the longest length.
+# Matches the client timeout, in ms, in the list of values of an OPEN line.
+CLIENT_TIMEOUT = re.compile(rb"(?:^|(?<=,))d=(\d{1,9})(?=,|$)")
+# Far more than any real id, key or group has. They are kept for as long as the tunnel exists, keys by the
+# balancer for longer; without this limit a hostile client could fill memory with lines of the maximum length.
 MAX_NAME_BYTES = 256
-# What one connection can ask of a backend, by far: a guess past that would drown all others' in every mean.
+# Far more load than one connection can cause: a larger hint would dominate every mean that it enters.
 MAX_LOAD_HINT = 1e6
 
 
 class MalformedError(Exception):
-    """A line that is no OPEN as the protocol has it."""
+    """The line is not a valid OPEN line."""
 
 
 class OpenRequest(NamedTuple):
-    """What an OPEN line asks for."""
+    """A parsed OPEN line."""
 
     line: bytes
     id: str
     profile: str
     key: str
-    client_timeout: int  # how long the client waits for UP; 0: not said
+    client_timeout: int  # how long the client waits for UP, in ns; 0: not given
     group: str | None
     tenant: str | None
     load_hint: float | None
-    returning: bool
-    previous_backend: str | None  # the backend that held it before
+    returning: bool  # the client repeats a request, or comes back after a break or a move
+    previous_backend: str | None  # name of the backend that held the connection before this relay started
 
     def line_for_backend(self, timeout: int) -> bytes:
-        """The line for a backend: unchanged, but for how long the relay will wait."""
+        """Returns the line for a backend: the client's, with its timeout replaced by `timeout` (ns).
+
+        A connection that was open before is passed on unchanged.
+        """
         if self.previous_backend is not None:
             return self.line
-        start, found, names = self.line.rpartition(b" ")
-        return start + found + WAIT.sub(b"d=%d" % max(1, timeout // MS), names, count=1)
+        start, separator, values = self.line.rpartition(b" ")
+        return start + separator + CLIENT_TIMEOUT.sub(b"d=%d" % max(1, timeout // MS), values, count=1)
 
 
 def parse_open_request(line: bytes) -> OpenRequest:
+    """Parses an OPEN line. Raises MalformedError."""
     try:
         words = line.decode("ascii").split(" ")
         if len(words) != 4 or words[0] != "OPEN" or not words[1] or not words[2]:
-            raise MalformedError("not OPEN with an id, a key and a list of values")
+            raise MalformedError("expected OPEN, an id, a key and a list of values")
         pairs = [pair.split("=", 1) for pair in words[3].split(",")]
-        told = dict(pairs)
-        if len(told) < len(pairs):
-            raise MalformedError("a name twice")
-        if max(map(len, (*words[1:3], told.get("g", "")))) > MAX_NAME_BYTES:
-            raise MalformedError(f"a name of over {MAX_NAME_BYTES} bytes")
-        hint = parse_finite(told["h"]) if "h" in told else None
+        values = dict(pairs)
+        if len(values) < len(pairs):
+            raise MalformedError("a key of the list of values is repeated")
+        if max(map(len, (*words[1:3], values.get("g", "")))) > MAX_NAME_BYTES:
+            raise MalformedError(f"id, key or group is longer than {MAX_NAME_BYTES} bytes")
+        hint = parse_finite(values["h"]) if "h" in values else None
         if hint is not None:
             if hint < 0:
-                raise MalformedError("no load in h")
+                raise MalformedError("h is negative")
             hint = min(hint, MAX_LOAD_HINT)
-        at = told.get("at")
-        wait = WAIT.search(line.rpartition(b" ")[2])
-        if at is None and (wait is None or not int(wait[1])):
-            raise MalformedError("no time to wait in d")
+        previous_backend = values.get("at")
+        timeout = CLIENT_TIMEOUT.search(line.rpartition(b" ")[2])
+        if previous_backend is None and (timeout is None or not int(timeout[1])):
+            raise MalformedError("d is not a positive number of ms")
         return OpenRequest(
             line,
             words[1],
-            told["c"],
+            values["c"],
             words[2],
-            int(wait[1]) * MS if wait else 0,
-            told.get("g"),
-            told.get("t"),
+            int(timeout[1]) * MS if timeout else 0,
+            values.get("g"),
+            values.get("t"),
             hint,
-            "1" in (told.get("r"), told.get("again")),
-            at,
+            "1" in (values.get("r"), values.get("again")),
+            previous_backend,
         )
     except UnicodeDecodeError as why:
-        raise MalformedError("bytes past ASCII") from why
+        raise MalformedError("bytes that are not ASCII") from why
     except KeyError as why:
-        raise MalformedError(f"no value {why}") from why
+        raise MalformedError(f"value {why} is missing") from why
     except ValueError as why:
-        raise MalformedError(f"not a list of values: {why}") from why
+        raise MalformedError(f"invalid list of values: {why}") from why
 
 
-class ClientLink(Link):
-    """One client's connection: first lines that are no tunnel yet, then the tunnel's client end."""
+class ClientLineConnection(Link):
+    """Connection of one client: PINGs and the OPEN line at first, then the client's end of a tunnel."""
 
     peer = "client"
 
     def __init__(self, listener: Listener) -> None:
+        """Takes a slot. Raises NoFreeSlotError."""
         super().__init__(listener.context)
         self.handler = listener.handler
         self.listener = listener
         self.tunnel_id = -1
         self.is_open = False
-        self.answer_pending = False  # a whole request was read, and no word of an answer said
+        self.answer_pending = False  # a complete request was read and not answered yet
 
     def came_up(self) -> None:
+        """Starts the time limit for the OPEN line."""
         self.listener.mark_waiting(self)
-        # From connecting on: half lines and PINGs put nothing off. Where this process was paused the line may
-        # lie here unread, and its client is owed an answer.
+        # Partial lines and PINGs do not extend the limit. Received data is read before the timer runs: after
+        # a pause of this process the OPEN line may be there unread, and its client must be answered.
         self.due_in(OPEN_LINE_TIMEOUT, self.finish, reads_first=True)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Rejects data that a client sends before its request is answered; passes on the rest."""
         if self.tunnel_id >= 0 and not self.is_open and not self.ending:
             self.bad_input("more before the answer")
         else:
@@ -123,14 +132,15 @@
                 self.listener.mark_waiting(self)
 
     def lines_came(self, lines: list[bytes]) -> None:
+        """Handles complete lines: tunnel data, PING or OPEN."""
         if self.is_open:
             self.handler.lines_from_client(self.tunnel_id, lines)
         elif len(lines) > 1 or self.lines.has_partial_line:
-            # Looked at before the line is dealt with: a backend may not see one of which the client itself
-            # makes nonsense.
+            # Checked before the line is handled, as a backend must not receive a request that is followed by
+            # data that the protocol forbids.
             self.bad_input("more before the answer")
         elif lines[0] == b"PING":
-            # To the system at once: from here on it may be reset to make room.
+            # Written to the socket at once, as the connection may be evicted (reset) from here on.
             self.send_lines([b"ERR" if self.listener.out_of_service else b"PONG"])
             self.listener.mark_answered(self)
         else:
@@ -148,6 +158,7 @@
         self.tunnel_id = self.handler.request_arrived(self, open_request)
 
     def turn_out(self) -> None:
+        """Ends the connection after bad input, with an error if it is not open."""
         if self.is_open:
             super().turn_out()
             return
@@ -156,11 +167,13 @@
         self.send_error()
 
     def peer_ended(self, abrupt: bool) -> None:
-        self.answer_pending = False  # there is nobody to have it
+        """Handles the end of the connection by the client."""
+        self.answer_pending = False  # the client is gone, so no answer is due
         if self.tunnel_id >= 0:
             self.handler.client_closed(self.tunnel_id, abrupt)
 
     def writeConnectionLost(self) -> None:  # noqa: N802
+        """Marks the connection as evictable: all is sent and the sending side is closed."""
         self.listener.mark_answered(self)
 
     def _gone(self) -> None:
@@ -169,70 +182,83 @@
         if self.answer_pending:
             self.context.invariants.record_violation(Invariant.CLOSED_UNANSWERED, f"tunnel {self.tunnel_id}")
 
-    # -- the answers, each the last but opened ---------------------------------------------------
+    # -- the answers; each but accept also ends the connection -----------------------------------
 
     def accept(self, line: bytes) -> None:
+        """Sends the backend's UP line; from here on lines are forwarded."""
         self.is_open = True
         self.answer_pending = False
-        # To the system at once: its backend may reset the connection in the same turn of the reactor, and
-        # what still waited here would go with it.
+        # Written to the socket at once: if the backend resets its connection in the same reactor iteration,
+        # this one is reset too, and data still buffered here would be lost.
         self.send_lines([line])
 
     def reject(self, retry_after: int) -> None:
+        """Sends BUSY, with the wait in whole ms if `retry_after` (ns) has any."""
         self.answer_pending = False
         self.send_line(b"BUSY %d" % (retry_after // MS) if retry_after >= MS else b"BUSY")
         self.finish()
 
     def send_error(self) -> None:
+        """Sends ERR."""
         self.answer_pending = False
         self.send_line(b"ERR")
         self.finish()
 
     def send_move(self) -> None:
+        """Sends MOVE, which asks the client to open its connection anew."""
         self.send_line(b"MOVE")
         self.finish()
 
 
 class Listener(EvictingListener):
-    """Takes clients in. Strangers who connect by hundreds and say nothing must not keep the others out; only
-    where nobody can make room do newcomers wait in the system's queue.
+    """Accepts clients.
+
+    Hundreds of connections that send nothing must not keep other clients out, so idle connections are
+    evicted. New connections wait in the system's queue only if none can be evicted.
     """
 
     spare_slots = EVICTION_FREE_SLOTS
 
     def __init__(self, context: ConnectionContext, handler: RequestHandler) -> None:
+        """Passes the requests of its clients to `handler`."""
         super().__init__(context)
         self.handler = handler
-        self.paused = self.held_back = False  # for want of slots; another process takes clients in
-        self.out_of_service = False  # out of service: the front that asks is to deal no clients to this relay
+        # Not accepting: no slot is free; another process of this relay accepts the clients.
+        self.paused = self.held_back = False
+        self.out_of_service = False  # PING is answered with ERR, so that no more clients are directed here
 
-    def buildProtocol(self, addr: IAddress) -> ClientLink | None:  # noqa: N802
+    def buildProtocol(self, addr: IAddress) -> ClientLineConnection | None:  # noqa: N802
+        """Returns the protocol of an accepted connection; None closes it."""
         self.evict_idle()
         if self.context.links.free <= REFUSAL_FREE_SLOTS:
-            # Refused here by closing; a socket more might be the one that ends the process.
+            # Closed at once: one more open descriptor could exceed the limit at which the process is ended.
             self.context.rate_limited_log.about("client", "no slot is left")
             self.paused = True
             self.port.stopReading()
             return None
-        return ClientLink(self)
+        return ClientLineConnection(self)
 
     def forget(self, link: Link) -> None:
+        """Handles the end of a connection, whose slot is free again."""
         super().forget(link)
         self.slots_freed()
 
     def slots_freed(self) -> None:
-        """Slots have come free, here or at the process before."""
+        """Resumes accepting after slots were released, here or by the predecessor process."""
         if self.paused and self.context.links.free > REFUSAL_FREE_SLOTS and self.port.connected:
             self.paused = False
             self._read()
 
     def pause_accepting(self) -> None:
-        """Another process of this relay is about to take clients in. Who has not been accepted waits in the
-        system's queue, which both share."""
+        """Stops accepting, as another process of this relay is about to accept clients.
+
+        Connections that are not accepted yet wait in the system's queue, which both processes share.
+        """
         self.held_back = True
         self.port.stopReading()
 
     def resume_accepting(self) -> None:
+        """Accepts clients again, unless no slot is free."""
         self.held_back = False
         self._read()
 
