--- a/cedarledge/net/tunnels.py
+++ b/cedarledge/net/tunnels.py
@@ -1,4 +1,4 @@
-"""Tunnels: their table, and the life of each from a front's word to the slot given back."""
+"""Tunnels, the connections that this relay forwards: from a client's request to the release of the slot."""
 
 from __future__ import annotations
 
@@ -21,21 +21,23 @@
 from cedarledge.policy.estimators import DecayingSum
 from cedarledge.terms import MS, SECOND, LoadReport, Outcome, ProfileRow
 
-# A client that would wait for so many times its profile's client timeout is none of ours.
-LONGER = 2
-# The way back of an answer is part of the client's wait.
-WAY_BACK = 5 * MS
-# Connections that were open before the run must be up again within 40 s of its start.
-ADOPT_WITHIN, ADOPT_CONNECT_WITHIN, ADOPT_AGAIN = 38 * SECOND, 4 * SECOND, 250 * MS
-UNKNOWN_FOR = 2 * SECOND
-# Clients that came from another relay of late, by a sum that fades within seconds.
-LATELY = 4 * SECOND
-# What is counted, as the log calls it.
-COUNTED = ("taken", "opened", "rejected", "failed", "moved", "silent", "left")
+# A request is invalid if its timeout is more than this many times the client timeout of its profile.
+MAX_TIMEOUT_FACTOR = 2
+# Time that an answer takes to the client, which is part of the client's timeout.
+ANSWER_DELIVERY_TIME = 5 * MS
+# Connections that were open before the run must be open again within 40 s of its start. For one of them: time
+# for all attempts, time to connect, and delay before the next attempt.
+ADOPT_TIMEOUT, ADOPT_CONNECT_TIMEOUT, ADOPT_RETRY_DELAY = 38 * SECOND, 4 * SECOND, 250 * MS
+# How long such a connection waits for a list that contains its backend.
+UNKNOWN_BACKEND_TIMEOUT = 2 * SECOND
+# Time constant of the decaying count of clients that came from other relays.
+RETURNED_CLIENTS_LIFETIME = 4 * SECOND
+# Names of the counters in the log.
+COUNTER_NAMES = ("taken", "opened", "rejected", "failed", "moved", "silent", "left")
 
 
 class Tunnel:
-    """A client's request and what it holds; its slot is given back in Tunnels._free."""
+    """A client's request and its resources; Tunnels._release releases its slot."""
 
     __slots__ = (
         "began",
@@ -59,6 +61,7 @@
         tenant: int | None,
         began: int,
     ) -> None:
+        """Starts with a request that arrived at `began` (ns) and has no attempt yet."""
         self.client = client
         self.open_request = open_request
         self.profile = profile
@@ -76,7 +79,11 @@
 
 
 class Tunnels:
-    """All tunnels of a relay, whatever front they came by."""
+    """All tunnels of a relay.
+
+    Implements interfaces.RequestHandler for the frontend and backends.Watcher for the attempts, and carries
+    out the balancer's actions on requests and connections.
+    """
 
     backends: Backends
     echoes: Echoes
@@ -87,13 +94,18 @@
         policy_host: RelayPolicyHost,
         boxes: BoxList,
         observers: Observers,
-        most: int,
+        capacity: int,
         profiles: Mapping[str, int],
         tenants: Mapping[str, int],
-        waits: Sequence[int],
-        connect_within: int,
+        client_timeouts: Sequence[int],
+        connect_timeout: int,
         classes: Sequence[ProfileRow] = (),
     ) -> None:
+        """Holds at most `capacity` tunnels.
+
+        `profiles` and `tenants` map names to indices. `client_timeouts` (by profile) and `connect_timeout`
+        are in ns. Without `classes` repeated execution of requests is not checked.
+        """
         self.context = context
         self.guard = RequestGuard(
             context.invariants, context.clock, classes, boxes.listed, boxes.backend_ids.names
@@ -103,43 +115,50 @@
         self.policy_host = policy_host
         self.boxes = boxes
         self.observers = observers
-        self.table: SlotTable[Tunnel] = SlotTable(most)
-        self.ids: set[str] = set()  # of all tunnels here, as their clients named them
-        self.predecessor_ids: frozenset[str] = frozenset()  # at the process that this one takes over from
+        self.table: SlotTable[Tunnel] = SlotTable(capacity)
+        self.ids: set[str] = set()  # request ids of all tunnels, as given by the clients
+        self.predecessor_ids: frozenset[str] = (
+            frozenset()
+        )  # of the tunnels that the predecessor process still holds
         self.profiles = profiles
         self.tenants = tenants
-        self.waits = waits
-        self.connect_within = connect_within
+        self.client_timeouts = client_timeouts
+        self.connect_timeout = connect_timeout
         self._counts: Counter[str] = Counter()
-        self.saw_new_request = False  # somebody has come who was not open before the run
-        # Clients that came back here less those that were sent away from here: more come than go while
-        # another relay is down, and about as many where a backend is.
-        self.net_returned_clients = DecayingSum(LATELY)
+        self.saw_new_request = False  # a request arrived whose connection was not open before the run
+        # Clients that came here after losing a connection, minus those that lost theirs here. High while
+        # another relay is down; near zero while a backend is down, as about as many come as leave.
+        self.net_returned_clients = DecayingSum(RETURNED_CLIENTS_LIFETIME)
 
     def connect(self, backends: Backends, echoes: Echoes) -> None:
+        """Sets the parts that need this object themselves; call it before any request arrives."""
         self.backends = backends
         self.echoes = echoes
 
     def counts(self) -> str:
-        """What became of all requests so far, for the log."""
-        return ", ".join(f"{self._counts[name]} {name}" for name in COUNTED)
+        """Returns the counters of request outcomes in one line, for the log."""
+        return ", ".join(f"{self._counts[name]} {name}" for name in COUNTER_NAMES)
 
-    # -- what the module has done ------------------------------------------------------------------
+    # -- actions of the balancer -------------------------------------------------------------------
 
     def send(self, tunnel_id: int, backend_id: int, timeout: int) -> None:
+        """Begins an attempt at a backend, to be answered within `timeout` ns.
+
+        An attempt that would violate an invariant, or finds no free slot, is reported as not sent.
+        """
         if not self.guard.may_attempt(
             self.table.get(tunnel_id).request, backend_id, backend_id in self.boxes.ready
         ):
-            self._not_sent(tunnel_id, backend_id)
+            self._report_not_sent(tunnel_id, backend_id)
             return
-        self._set_up(tunnel_id, backend_id, timeout, self.connect_within)
+        self._begin_attempt(tunnel_id, backend_id, timeout, self.connect_timeout)
         self.observers.notify("set_up", tunnel_id, backend_id, timeout)
 
-    def _not_sent(self, tunnel_id: int, backend_id: int) -> None:
-        """Tells the module once it is through with what it does now."""
+    def _report_not_sent(self, tunnel_id: int, backend_id: int) -> None:
+        """Reports an attempt as not sent, after the balancer's current call has returned."""
         self.timers.after(0, self.setup_over, tunnel_id, backend_id, Outcome.NOT_SENT, 0, None, False)
 
-    def _set_up(self, tunnel_id: int, backend_id: int, timeout: int, connect_within: int) -> None:
+    def _begin_attempt(self, tunnel_id: int, backend_id: int, timeout: int, connect_timeout: int) -> None:
         tunnel = self.table.get(tunnel_id)
         self.guard.record_attempt(tunnel.request, backend_id)
         try:
@@ -149,62 +168,66 @@
                 self.boxes.addresses[backend_id],
                 tunnel.open_request.line_for_backend,
                 timeout,
-                connect_within,
+                connect_timeout,
             )
         except NoFreeSlotError:
-            self._not_sent(tunnel_id, backend_id)
+            self._report_not_sent(tunnel_id, backend_id)
 
     def decline(self, tunnel_id: int, come_back: int) -> None:
+        """Rejects a request; answers with an error if it may have run and must not be repeated."""
         tunnel = self.table.get(tunnel_id)
         if not self.guard.may_reject(tunnel.request):
             self.close_with_error(tunnel_id)
             return
         tunnel.client.reject(come_back)
         self.context.rate_limited_log.about("rejected", lambda: self.guard.describe(tunnel.request))
-        self._answered(tunnel_id, True)
+        self._finish_answered(tunnel_id, True)
 
     def close_with_error(self, tunnel_id: int) -> None:
+        """Answers a request with an error."""
         tunnel = self.table.get(tunnel_id)
         tunnel.client.send_error()
         self.context.rate_limited_log.about("failed", lambda: self.guard.describe(tunnel.request))
-        self._answered(tunnel_id, False)
+        self._finish_answered(tunnel_id, False)
 
     def move(self, tunnel_id: int) -> None:
+        """Closes an open connection and asks its client to open it anew; no effect if it is not open."""
         tunnel = self.table.get(tunnel_id)
         if tunnel is None or tunnel.closed or not tunnel.is_open:
             return
         setup = tunnel.setup
-        logger.debug("tunnel {} is moved off {}", tunnel_id, self.boxes.backend_ids.names[setup.backend_id])
+        logger.debug("tunnel {}: moved off {}", tunnel_id, self.boxes.backend_ids.names[setup.backend_id])
         self.net_returned_clients.add(self.clock(), -1)
         self._counts["moved"] += 1
-        self._part(tunnel)
+        self._detach_attempt(tunnel)
         tunnel.request.attempt_ended(Outcome.CANCELLED)
         tunnel.client.send_move()
         setup.call_off()
         self.observers.notify("moved", tunnel_id, setup.backend_id)
-        # The module is in the midst of moving, so it hears of the end afterwards.
-        self.timers.after(0, self._moved, tunnel_id, setup.backend_id, self.clock() - setup.began)
+        # The balancer is within the call that moves the connection and is told of its end afterwards.
+        self.timers.after(0, self._finish_moved, tunnel_id, setup.backend_id, self.clock() - setup.began)
 
-    # -- what the clients' side tells --------------------------------------------------------------
+    # -- events of the frontend --------------------------------------------------------------------
 
     def request_arrived(self, client: ClientConnection, open_request: OpenRequest) -> int:
+        """Takes a request and returns its tunnel id; -1 if it was answered at once."""
         try:
             profile = self.profiles[open_request.profile]
             tenant = None if open_request.tenant is None else self.tenants[open_request.tenant]
         except KeyError as why:
-            client.bad_input(f"nothing is called {why}")
+            client.bad_input(f"unknown profile or tenant {why}")
             return -1
         if (
             open_request.previous_backend is None
-            and open_request.client_timeout > LONGER * self.waits[profile]
+            and open_request.client_timeout > MAX_TIMEOUT_FACTOR * self.client_timeouts[profile]
         ):
             client.bad_input(
-                f"{open_request.profile} does not wait for {open_request.client_timeout // MS} ms"
+                f"{open_request.profile} does not allow a timeout of {open_request.client_timeout // MS} ms"
             )
             return -1
         if open_request.id in self.ids or open_request.id in self.predecessor_ids:
-            # Two of one id would be told apart by nobody behind this relay, and the first is the one served.
-            client.bad_input(f"{open_request.id[:40]} is open already")
+            # Backends could not distinguish two requests of one id; the first one is served.
+            client.bad_input(f"request id {open_request.id[:40]} is in use")
             return -1
         tunnel = Tunnel(client, open_request, profile, tenant, self.clock())
         try:
@@ -229,7 +252,7 @@
             tenant,
             open_request.key,
             open_request.group,
-            max(MS, open_request.client_timeout - WAY_BACK),
+            max(MS, open_request.client_timeout - ANSWER_DELIVERY_TIME),
             open_request.load_hint,
             open_request.returning,
         ):
@@ -237,6 +260,7 @@
         return tunnel_id
 
     def lines_from_client(self, tunnel_id: int, lines: list[bytes]) -> None:
+        """Forwards lines to the backend and starts to wait for its response."""
         tunnel = self.table.get(tunnel_id)
         if tunnel is None or tunnel.closed:
             return
@@ -244,13 +268,14 @@
         tunnel.echo.asked()
 
     def client_closed(self, tunnel_id: int, abrupt: bool) -> None:
+        """Ends a tunnel whose client has left; the backend's connection is reset if `abrupt`."""
         tunnel = self.table.get(tunnel_id)
         if tunnel is None or tunnel.closed:
             return
-        setup, was_up = tunnel.setup, tunnel.is_open
+        setup, was_open = tunnel.setup, tunnel.is_open
         self._counts["left"] += 1
-        self._part(tunnel)
-        if tunnel.known_to_policy and not was_up:
+        self._detach_attempt(tunnel)
+        if tunnel.known_to_policy and not was_open:
             self.policy_host.call(self.policy_host.balancer.client_gone, tunnel_id)
         if setup is not None:
             setup.call_off(abrupt)
@@ -266,35 +291,40 @@
                     self.clock() - setup.began,
                     None,
                 )
-        self._free(tunnel_id)
+        self._release(tunnel_id)
 
-    # -- a connection that was open before ---------------------------------------------------------
+    # -- connections that were open before this relay started --------------------------------------
 
     def _adopt(self, tunnel_id: int) -> None:
-        """Brings up a connection that was open before, at its own backend and no other."""
+        """Opens a connection again at the backend that held it, and at no other."""
         tunnel = self.table.get(tunnel_id)
         if tunnel is None or tunnel.closed:
             return
         age = self.clock() - tunnel.began
         backend_id = self.boxes.backend_ids.get(tunnel.open_request.previous_backend)
-        if age >= ADOPT_WITHIN or backend_id in self.boxes.banned:
+        if age >= ADOPT_TIMEOUT or backend_id in self.boxes.banned:
             self.close_with_error(tunnel_id)
         elif backend_id in self.boxes.addresses:
-            self._set_up(tunnel_id, backend_id, ADOPT_WITHIN - age, ADOPT_CONNECT_WITHIN)
-        elif self.boxes.heard or age > UNKNOWN_FOR:
-            # Nobody has such a backend. It may only be new since this relay's list was made.
+            self._begin_attempt(tunnel_id, backend_id, ADOPT_TIMEOUT - age, ADOPT_CONNECT_TIMEOUT)
+        elif self.boxes.heard or age > UNKNOWN_BACKEND_TIMEOUT:
+            # The list does not contain the backend. Until discovery has answered, it may only be newer than the
+            # list that this relay was started with, so the connection waits for a while.
             self.close_with_error(tunnel_id)
         else:
-            if age < ADOPT_AGAIN:
-                # The first call may be put off, as all relays start together; who waits for it may not.
+            if age < ADOPT_RETRY_DELAY:
+                # Relays that start together spread their first call of the discovery service; this
+                # connection can't wait for it.
                 self.policy_host.watch()
-            self.timers.after(ADOPT_AGAIN, self._adopt, tunnel_id)
+            self.timers.after(ADOPT_RETRY_DELAY, self._adopt, tunnel_id)
 
-    # -- what the backends' side tells -------------------------------------------------------------
+    # -- events of attempts ------------------------------------------------------------------------
 
     def may_send(self, tunnel_id: int, backend_id: int) -> bool:
-        """Nothing new goes to a backend that drains; what was open there before goes nowhere else, and there
-        only if operators have not taken it out."""
+        """Returns whether the request may be written to the backend now.
+
+        New requests need a backend that is ready. Connections that were open before only need one that
+        operators have not taken offline.
+        """
         tunnel = self.table.get(tunnel_id)
         return (
             tunnel is not None
@@ -303,22 +333,24 @@
         )
 
     def client_waits(self, tunnel_id: int) -> int:
-        """How long the client still waits for its answer, in ns; below 0: no longer."""
+        """Returns how long the client still waits for its answer, in ns; below 0 if no longer."""
         tunnel = self.table.get(tunnel_id)
         return (
             -1
             if tunnel is None
-            else tunnel.began + tunnel.open_request.client_timeout - WAY_BACK - self.clock()
+            else tunnel.began + tunnel.open_request.client_timeout - ANSWER_DELIVERY_TIME - self.clock()
         )
 
     def client_has_left(self, tunnel_id: int) -> bool:
+        """Returns whether the client has closed its connection, even if that was not read yet."""
         tunnel = self.table.get(tunnel_id)
         return tunnel is None or tunnel.client.peer_has_left()
 
     def setup_up(self, tunnel_id: int, line: bytes, took: int) -> None:
+        """Opens the tunnel: the backend accepted with `line`, `took` ns after the attempt began."""
         tunnel = self.table.get(tunnel_id)
         logger.debug(
-            "tunnel {} at {}: up after {} ms",
+            "tunnel {} at {}: open after {} ms",
             tunnel_id,
             self.boxes.backend_ids.names[tunnel.setup.backend_id],
             took // MS,
@@ -329,7 +361,7 @@
         setup, client = tunnel.setup, tunnel.client
         tunnel.echo = Echo(self.echoes, tunnel_id, setup.backend_id)
         client.accept(line)
-        # A side that reads slowly holds up the other one's reading, not this relay's memory.
+        # If one side reads slowly, reading from the other one pauses, so that no data piles up here.
         client.transport.registerProducer(setup.transport, True)
         setup.transport.registerProducer(client.transport, True)
         if tunnel.known_to_policy:
@@ -350,6 +382,7 @@
         self.observers.notify("opened", tunnel_id, setup.backend_id, took)
 
     def lines_back(self, tunnel_id: int, lines: list[bytes]) -> None:
+        """Forwards lines to the client and reads the load in LOAD lines."""
         tunnel = self.table.get(tunnel_id)
         if tunnel is None or tunnel.closed:
             return
@@ -361,7 +394,7 @@
             try:
                 load = parse_finite(line[5:].decode("ascii"))
             except ValueError:
-                self.context.rate_limited_log.about("backend", f"no load: {line[:80]!r}")
+                self.context.rate_limited_log.about("backend", f"invalid load: {line[:80]!r}")
                 continue
             self.policy_host.call(self.policy_host.balancer.load_told, tunnel_id, load)
 
@@ -374,15 +407,19 @@
         report: LoadReport | None,
         abrupt: bool,
     ) -> None:
+        """Handles the end of an attempt, or of an open connection at its backend.
+
+        `took` is in ns from the beginning of the attempt; `abrupt` tells that the connection was reset.
+        """
         tunnel = self.table.get(tunnel_id)
         if tunnel is None:
-            # No slot was found for it, and its client has left since. The module counts it still.
+            # The attempt found no free slot and its client has left since; the balancer still counts it.
             self.policy_host.call(
                 self.policy_host.balancer.setup_ended, tunnel_id, backend_id, True, outcome, took, report
             )
             return
         logger.debug(
-            "tunnel {} at {}: {} after {} ms, up {}",
+            "tunnel {} at {}: {} after {} ms, open {}",
             tunnel_id,
             self.boxes.backend_ids.names[backend_id],
             outcome.name,
@@ -391,7 +428,7 @@
         )
         was_open = tunnel.is_open
         tunnel.request.attempt_ended(outcome)
-        self._part(tunnel, over=was_open)
+        self._detach_attempt(tunnel, over=was_open)
         self.observers.notify("setup_over", tunnel_id, backend_id, outcome, took, was_open)
         if was_open:
             if outcome is not Outcome.DONE:
@@ -401,13 +438,14 @@
             else:
                 tunnel.client.finish()
         if not tunnel.known_to_policy:
-            # Where others have come already the run has begun, which it does not while one of these waits:
-            # only a stranger asks now, and is not to hold a slot and press a backend for as long.
+            # Retried only until the first new request. The run begins once all connections that were open
+            # before are open again, so a later request of this kind is not genuine and must not occupy a slot
+            # and load a backend for as long.
             if (
                 outcome in (Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.NOT_SENT)
                 and not self.saw_new_request
             ):
-                self.timers.after(ADOPT_AGAIN, self._adopt, tunnel_id)
+                self.timers.after(ADOPT_RETRY_DELAY, self._adopt, tunnel_id)
             else:
                 self.close_with_error(tunnel_id)
             return
@@ -416,13 +454,14 @@
         ):
             self.fail_request(tunnel_id)
         if was_open:
-            self._free(tunnel_id)
+            self._release(tunnel_id)
 
     def garbled(self, tunnel_id: int) -> None:
-        """Its backend's lines can't be passed on, so the client is better off elsewhere."""
+        """Moves a connection whose backend sends lines that can't be forwarded."""
         self.move(tunnel_id)
 
     def silent(self, tunnel_id: int) -> None:
+        """Reports to the balancer that lines of an open connection get no response."""
         tunnel = self.table.get(tunnel_id)
         self._counts["silent"] += 1
         logger.info("silent: {}", self.guard.describe(tunnel.request))
@@ -430,30 +469,33 @@
 
     # -- the end of a tunnel -----------------------------------------------------------------------
 
-    def _moved(self, tunnel_id: int, backend_id: int, took: int) -> None:
+    def _finish_moved(self, tunnel_id: int, backend_id: int, took: int) -> None:
         self.policy_host.call(
             self.policy_host.balancer.setup_ended, tunnel_id, backend_id, True, Outcome.CANCELLED, took, None
         )
-        self._free(tunnel_id)
+        self._release(tunnel_id)
 
-    def _part(self, tunnel: Tunnel, over: bool = True) -> None:
-        """The tunnel lets go of its setup, and with over of all else but its slot."""
+    def _detach_attempt(self, tunnel: Tunnel, over: bool = True) -> None:
+        """Drops the tunnel's attempt, and with `over` everything but its slot."""
         tunnel.setup = None
         tunnel.closed = tunnel.closed or over
         if over and tunnel.echo is not None:
             tunnel.echo.close()
 
-    def _answered(self, tunnel_id: int, declined: bool) -> None:
-        """The final answer is out. The module gives it only when no setup is."""
+    def _finish_answered(self, tunnel_id: int, declined: bool) -> None:
+        """Ends a tunnel whose final answer was sent.
+
+        The balancer answers only while no attempt is in progress.
+        """
         tunnel = self.table.get(tunnel_id)
         self._counts["rejected" if declined else "failed"] += 1
         self.guard.record_answer(tunnel.request, "BUSY" if declined else "ERR")
-        self._part(tunnel)
+        self._detach_attempt(tunnel)
         self.observers.notify("answered", tunnel_id, declined, self.clock() - tunnel.began)
-        self._free(tunnel_id)
+        self._release(tunnel_id)
 
     def fail_request(self, tunnel_id: int) -> None:
-        """The module failed on this tunnel: its client still gets an answer."""
+        """Answers a request with an error after a call to the balancer failed on it."""
         tunnel = self.table.get(tunnel_id)
         if tunnel is not None and not tunnel.closed:
             self.guard.record_answer(tunnel.request, "ERR")
@@ -461,26 +503,28 @@
             tunnel.client.send_error()
 
     def fail_waiting_requests(self) -> None:
-        """The module failed, on which tunnels is not known: all that have no setup out, and wait for it
-        alone."""
+        """Answers all requests that have no attempt in progress and wait for the balancer only.
+
+        Called after a call to the balancer failed, as it is unknown which requests it concerned.
+        """
         for tunnel_id in self.table.handles():
             tunnel = self.table.get(tunnel_id)
-            # Each answer tells the module of its client's end, and it may fail on that too.
+            # Each answer notifies the balancer that the client is gone, and that may fail as well.
             if tunnel is not None and tunnel.known_to_policy and tunnel.setup is None:
                 self.fail_request(tunnel_id)
 
     def close_all(self) -> None:
-        """What is still held would be cut off, so it gets its answer or its MOVE."""
+        """Answers each waiting request and moves each open connection, which would otherwise be cut off."""
         for tunnel_id in self.table.handles():
             tunnel = self.table.get(tunnel_id)
-            # The module may fail on one of them, and then all that waited have been answered already.
+            # If a call to the balancer fails here, all waiting requests have been answered already.
             if tunnel is not None and tunnel.is_open:
                 self.move(tunnel_id)
             elif tunnel is not None:
                 self.fail_request(tunnel_id)
 
-    def _free(self, tunnel_id: int) -> None:
-        """The one place where a tunnel's slot and its id are given back."""
+    def _release(self, tunnel_id: int) -> None:
+        """Releases a tunnel's slot and its id; nothing else does."""
         tunnel = self.table.get(tunnel_id)
         self.observers.notify("ended", tunnel_id, self.clock() - tunnel.began)
         self.ids.remove(tunnel.open_request.id)
