--- a/cedarledge/net/relay.py
+++ b/cedarledge/net/relay.py
@@ -1,4 +1,4 @@
-"""One running relay, put together from its parts; its start, its new configurations, its end."""
+"""Assembly of a relay from its parts, and its start, reconfiguration and end."""
 
 from __future__ import annotations
 
@@ -44,26 +44,29 @@
     from cedarledge.net.handover import Handover
     from cedarledge.operator.file import OperatorFile
 
-# Descriptors for what is no line connection: standard streams, the listener, discovery, the reactor's own.
-OWN_FILES = 24
-# More for the operators' frontend, where there is one: its callers, those about to leave, its listener.
-CONTROL_FILES = 28
-# The platform kills a relay no sooner than the longest client timeout, this at most, and a little more after
-# SIGTERM; new connections go on coming for a while.
-LONGEST_STOP, STOP_LOOK = 3 * SECOND, 100 * MS
-NEWCOMERS_FOR, NEWCOMERS_MOST = 400 * MS, SECOND
-# How much of that little more is used until all are answered, and how often newcomers are before the end;
-# after what part of the time moves that are put off begin, and the part of the tunnels that must have come
-# from another relay of late for that.
-KILL_LATER, LAST_LOOKS, LATE, REFUGEES = 300 * MS, 2, 0.65, 0.12
-# How soon a new configuration is read again that this machine could not read.
-RELOAD_AGAIN = 100 * MS
+# Descriptors that are not line connections: standard streams, the listener, discovery, the reactor's own.
+RESERVED_DESCRIPTORS = 24
+# Descriptors of the operators' control interface, if there is one: its callers, those being closed, its
+# listener.
+CONTROL_DESCRIPTORS = 28
+# After SIGTERM the platform waits for the longest client timeout, at most for the first number, and a little
+# longer before it kills a relay. The second number is how often the relay checks whether it can end.
+MAX_STOP_TIME, STOP_CHECK_INTERVAL = 3 * SECOND, 100 * MS
+# New connections still arrive for a while after SIGTERM: the relay stays for the stop time and the first
+# number, but no longer than the second number.
+NEW_CONNECTIONS_TIME, MAX_NEW_CONNECTIONS_TIME = 400 * MS, SECOND
+# How much of the platform's extra time passes before everything is answered; how often new connections are
+# answered from then on; the part of the stop time by which moves are delayed if more than the last number, a
+# part of the tunnels, came recently from another relay.
+EXTRA_STOP_TIME, FINAL_ANSWER_ROUNDS, MOVE_DELAY_SHARE, RETURNED_CLIENTS_SHARE = 300 * MS, 2, 0.65, 0.12
+# Delay before a configuration that could not be read for want of a system resource is read again.
+RELOAD_RETRY_DELAY = 100 * MS
 ReadOperatorFile = Callable[[], "OperatorFile"]
 Joins = Callable[["Relay", RelayConfig, "OperatorFile"], None]
 
 
-def _may_hold(sockets: int) -> int:
-    """How many descriptors the process may hold: as many as it was told, if the system lets it."""
+def _raise_descriptor_limit(sockets: int) -> int:
+    """Raises the process's limit of descriptors to `sockets` if possible, and returns how many it may use."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < sockets <= hard:
         resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, hard))
@@ -72,23 +75,26 @@
 
 
 class Relay:
-    """The assembly: makes every part, tells each of those it works with, and owns nothing that a part could
-    own."""
+    """Creates the parts of a relay and connects them.
+
+    It holds only state that belongs to no part.
+    """
 
     def __init__(self, reactor: Any, config: RelayConfig, balancer: MakeBalancer = Balancer) -> None:
+        """Creates a relay that does not listen yet. Raises BadConfigError if it can't use the settings."""
         settings = config.settings
         self.clock = steady_clock()
         self.timers = Timers(reactor, self.clock)
-        files = _may_hold(config.sockets)
-        most = files - OWN_FILES - (CONTROL_FILES if config.control else 0)
-        if most < 2 * RESERVED_SLOTS:
-            raise BadConfigError(f"{files} descriptors are too few")
+        descriptors = _raise_descriptor_limit(config.sockets)
+        capacity = descriptors - RESERVED_DESCRIPTORS - (CONTROL_DESCRIPTORS if config.control else 0)
+        if capacity < 2 * RESERVED_SLOTS:
+            raise BadConfigError(f"{descriptors} descriptors are too few")
         self.context = ConnectionContext(
             reactor,
             self.clock,
             self.timers,
-            Pool(BUFFER_SIZE, most),
-            SlotTable(most),
+            Pool(BUFFER_SIZE, capacity),
+            SlotTable(capacity),
             RateLimitedLog(self.timers),
             Invariants(),
         )
@@ -96,27 +102,30 @@
         self.policy_host = RelayPolicyHost(self.clock, self.timers)
         try:
             self.boxes = BoxList(self.policy_host, self.observers, settings)
-            # Names may be numbers there; on the wire they are words.
+            # Names may be numbers in the settings; in the protocol they are strings.
             self.profiles, tenants = (
                 {str(row["name"]): place for place, row in enumerate(settings.get(kind) or ())}
                 for kind in ("profiles", "tenants")
             )
-            # Clients say whole milliseconds.
-            waits = [max(MS, int(row["client_timeout"]) * US or LONGEST_STOP) for row in settings["profiles"]]
-            # Clients' lines come back at once however slow the backend's messages are; they show hangs alone.
-            facts = deployment_settings(settings, config.seed, self.clock(), self.boxes.zones)._replace(
+            # Clients give their timeouts in whole milliseconds, so 1 ms is the minimum.
+            client_timeouts = [
+                max(MS, int(row["client_timeout"]) * US or MAX_STOP_TIME) for row in settings["profiles"]
+            ]
+            # Clients' lines come back at once however slow the backend's messages are, so they only reveal
+            # backends that hang.
+            deployment = deployment_settings(settings, config.seed, self.clock(), self.boxes.zones)._replace(
                 delays_told=False
             )
             allowed, reports = settings["allowed"], settings.get("load_report") or {}
-            connect_within = int(allowed["connect_timeout"]) * US or LONGEST_STOP  # 0: no limit is told
+            connect_timeout = int(allowed["connect_timeout"]) * US or MAX_STOP_TIME  # 0: no limit is set
             known = self.boxes.known_at_start(config.known["members"])
             self.watching = Watch(
                 reactor,
                 self.timers,
                 config.discovery,
                 int(config.known["revision"]),
-                facts.ask_every,
-                not facts.must_ask,
+                deployment.ask_every,
+                not deployment.must_ask,
                 self.policy_host.random,
                 self.boxes.told,
                 self.boxes.lost,
@@ -127,51 +136,54 @@
                 self.policy_host,
                 self.boxes,
                 self.observers,
-                (most - RESERVED_SLOTS - min(len(known), RESERVED_SLOTS)) // 2,
+                (capacity - RESERVED_SLOTS - min(len(known), RESERVED_SLOTS)) // 2,
                 self.profiles,
                 tenants,
-                waits,
-                connect_within,
-                facts.profiles,
+                client_timeouts,
+                connect_timeout,
+                deployment.profiles,
             )
-            goals = [row.setup_goal for row in facts.profiles]
+            setup_goals = [row.setup_goal for row in deployment.profiles]
             self.backends = Backends(
                 self.context,
                 self.tunnels,
                 self.probe_ended,
                 ReportReader(settings),
-                Paces((facts.tightest or min(goals)) // 5),
-                connect_within,
-                # A probe that takes longer than the tightest setup may tells nothing good of its backend.
-                probe_within=min(goals),
+                Paces((deployment.tightest or min(setup_goals)) // 5),
+                connect_timeout,
+                # A probe that takes longer than the shortest setup goal counts as failed.
+                probe_within=min(setup_goals),
                 idle_within=int(allowed.get("conn_idle") or 15_000_000) * US,
                 probe_word=b"PING" if reports.get("how", "off") == "off" else b"STATS",
             )
-            self.stop_within = min(LONGEST_STOP, max(waits))
+            self.stop_within = min(MAX_STOP_TIME, max(client_timeouts))
             tells = (settings.get("domain") or {}).get("tells_delay")
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as why:
             raise BadConfigError(f"the settings can't be used: {why!r}") from why
-        slow = facts.tightest // 3 if tells else 0
-        self.reported, in_lines = (Delays(self.clock, slow, self.message_delayed) for _ in range(2))
-        self.tunnels.connect(self.backends, Echoes(self.clock, self.timers, in_lines, self.tunnels.silent))
+        slow = deployment.tightest // 3 if tells else 0
+        self.reported_delays, line_delays = (Delays(self.clock, slow, self.message_delayed) for _ in range(2))
+        self.tunnels.connect(self.backends, Echoes(self.clock, self.timers, line_delays, self.tunnels.silent))
         self.policy_host.connect(self.tunnels, self.backends, self.boxes, self.watching)
         self.frontend: Frontend = Listener(self.context, self.tunnels)
         self.service = ServiceState(
-            self.timers, self.policy_host, self.boxes, self.tunnels, self.backends, self.front
+            self.timers, self.policy_host, self.boxes, self.tunnels, self.backends, self.frontend
         )
         self.audit = Audit(self.timers, self.tunnels, self.context.invariants)
         self.handover: Handover | None = None
         self.ended = False
-        self._reload_again: Timer | None = None
-        self.listeners: list[Observer] = []
-        self.policy_host.start(facts, balancer)
+        self._reload_retry: Timer | None = None
+        self.permanent_observers: list[Observer] = []
+        self.policy_host.start(deployment, balancer)
         self.boxes.take_in(ListForm.RESTORED, config.known["members"])
-        if not facts.must_ask:
-            # Where the module is told of changes unasked, it leaves the asking to its host.
+        if not deployment.must_ask:
+            # If the list is pushed, the balancer leaves it to its host to start following it.
             self.watching.start()
 
     def open(self, config: RelayConfig) -> None:
-        """Raises CannotListenError."""
+        """Takes over from a predecessor process, if there is one, and starts to listen.
+
+        Raises CannotListenError.
+        """
         if config.inherited is not None:
             from cedarledge.net.handover import Handover
 
@@ -198,39 +210,44 @@
         if self.handover is not None:
             self.handover.listen()
 
-    # -- what is heard of backends beside their tunnels --------------------------------------------
+    # -- information about backends that does not belong to a tunnel -------------------------------
 
     def message_delayed(self, backend_id: int, delay: int) -> None:
+        """Reports to the balancer how long (ns) a message takes at a backend."""
         logger.debug("a message takes {} ms at {}", delay // MS, self.boxes.backend_ids.names[backend_id])
         self.policy_host.call(self.policy_host.balancer.delay_told, backend_id, delay)
 
     def probe_ended(self, backend_id: int, answered: bool, report: LoadReport) -> None:
+        """Reports the end of a probe to the balancer and the observers."""
         logger.debug("probe of {}: {}, {}", self.boxes.backend_ids.names[backend_id], answered, report)
         if report.service_time is not None:
-            # The clients' lines don't tell how long messages take; what a backend says of itself does.
-            self.reported.took(backend_id, int(report.service_time))
+            # Clients' lines do not show how long messages take; the backend's own report does.
+            self.reported_delays.took(backend_id, int(report.service_time))
         self.policy_host.call(self.policy_host.balancer.probed, backend_id, answered, report)
         self.observers.notify("probed", backend_id, answered, report)
 
-    def add_observer(self, hearer: Observer) -> None:
-        """Adds a hearer that stays whatever the operator's file says later."""
-        self.listeners.append(hearer)
-        self.observers.add(hearer)
+    def add_observer(self, observer: Observer) -> None:
+        """Adds an observer that stays when the operator file is read again."""
+        self.permanent_observers.append(observer)
+        self.observers.add(observer)
 
-    # -- a new configuration -----------------------------------------------------------------------
+    # -- reconfiguration ---------------------------------------------------------------------------
 
     def reload(self, read_operator_file: ReadOperatorFile | None = None) -> None:
-        """SIGHUP: what can change while connections are held is where the list is, and the operator's file.
-        All else takes a restart, and a file that can't be used changes nothing: the operator sees why, the
-        clients nothing."""
-        self.timers.cancel(self._reload_again)
+        """Reads the configuration again, on SIGHUP.
+
+        Only the address of discovery and the operator file can change while connections are open; everything
+        else needs a restart. A file that can't be used changes nothing, and the reason is logged.
+        """
+        self.timers.cancel(self._reload_retry)
         try:
             config = read_config(os.environ)
             wanted = read_operator_file() if read_operator_file is not None else None
         except TransientConfigError as why:
-            # A change told at the new place counts within seconds, whatever this machine lacks.
+            # Changes of the list at the new address must be known within seconds, even if this machine lacks
+            # resources now.
             self.context.rate_limited_log.about("configuration", f"tried again: {why}")
-            self._reload_again = self.timers.after(RELOAD_AGAIN, self.reload, read_operator_file)
+            self._reload_retry = self.timers.after(RELOAD_RETRY_DELAY, self.reload, read_operator_file)
             return
         except BadConfigError as why:
             logger.error("the new configuration can't be used, the old one stays: {}", why)
@@ -241,11 +258,11 @@
             self.apply_operator_file(wanted)
 
     def apply_operator_file(self, wanted: OperatorFile) -> None:
-        """The operator's file takes effect, at the start and on SIGHUP."""
+        """Applies the operator file, at the start and on SIGHUP."""
         log_to_stderr(wanted.log.level, wanted.log.form, wanted.log.waiting_kb << 10)
         self.observers.clear()
-        for hearer in self.listeners:
-            self.observers.add(hearer)
+        for observer in self.permanent_observers:
+            self.observers.add(observer)
         self.observers.time_limit = int(wanted.hearers.most_share * SECOND)
         self.observers.exclusion = int(wanted.hearers.left_out_s * SECOND)
         if wanted.log.events:
@@ -257,51 +274,60 @@
     # -- the end ---------------------------------------------------------------------------------
 
     def stop(self) -> None:
-        """The platform wants this relay to end, and will kill it."""
+        """Ends the relay, on SIGTERM: the platform will kill it soon."""
         if self.service.stopping:
             return
         self.service.stopping = True
         held = self.tunnels.table.used
         logger.info("stops within {} ms: {} tunnels", self.stop_within // MS, held)
-        # Relays are restarted one after the other. Where another's clients have just come here it is not back
-        # yet, and who is moved now finds nobody, then all come at once: they stay for as long as they can.
+        # Relays are restarted one after the other. If the clients of another relay have just come here, that
+        # relay is not back yet. Clients moved now would find neither relay and then all return at once, so
+        # they stay for as long as possible.
         wait, within = 0, self.stop_within * 2 // 3
-        # Where clients wait for a few hundred ms this process is killed before a second is over.
-        newcomers_for = 0 if self.service.replaced else min(NEWCOMERS_MOST, NEWCOMERS_FOR + self.stop_within)
+        # If clients wait for only a few hundred ms, this process is killed before a second is over.
+        new_connections_time = (
+            0
+            if self.service.replaced
+            else min(MAX_NEW_CONNECTIONS_TIME, NEW_CONNECTIONS_TIME + self.stop_within)
+        )
         if (
             not self.service.replaced
-            and self.tunnels.net_returned_clients.read(self.clock()) > REFUGEES * held
+            and self.tunnels.net_returned_clients.read(self.clock()) > RETURNED_CLIENTS_SHARE * held
         ):
-            wait = int(LATE * self.stop_within)
-            within = self.stop_within + KILL_LATER - wait
+            wait = int(MOVE_DELAY_SHARE * self.stop_within)
+            within = self.stop_within + EXTRA_STOP_TIME - wait
         self.timers.after(wait, self.policy_host.call, self.policy_host.balancer.stopping, within)
-        # Where this process was paused, connections that came meanwhile wait to be accepted, and lines to be
-        # read: looked at first, as the end would reset them without an answer.
-        self.timers.after_reading(STOP_LOOK, self._end_if_empty, self.clock() + newcomers_for)
-        self.timers.after_reading(self.stop_within + KILL_LATER, self._answer_all, LAST_LOOKS)
+        # Received data is read first: after a pause of this process there may be connections to accept and
+        # lines to read, which the end of the process would reset without an answer.
+        self.timers.after_reading(
+            STOP_CHECK_INTERVAL, self._end_if_empty, self.clock() + new_connections_time
+        )
+        self.timers.after_reading(self.stop_within + EXTRA_STOP_TIME, self._answer_all, FINAL_ANSWER_ROUNDS)
 
     def _end_if_empty(self, earliest: int) -> None:
         if self.context.links.used > len(self.backends.probes) or self.clock() < earliest:
-            self.timers.after_reading(STOP_LOOK, self._end_if_empty, earliest)
+            self.timers.after_reading(STOP_CHECK_INTERVAL, self._end_if_empty, earliest)
         else:
             self._end()
 
-    def _answer_all(self, looks: int) -> None:
-        """What is still held now would be cut off; newcomers likewise. Peers that have had their last word
-        and do not end their side, or a crowd that says nothing whole, must not hold the end up until the
-        platform kills this process."""
-        if not looks:
+    def _answer_all(self, rounds: int) -> None:
+        """Answers all connections, including new ones, several times, then ends the process.
+
+        Otherwise they would be cut off. Peers that keep an answered connection open, or many connections
+        without a complete request, must not delay the end until the platform kills this process.
+        """
+        if not rounds:
             self._end()
             return
         self.tunnels.close_all()
         self.frontend.turn_away()
-        self.timers.after(STOP_LOOK, self._answer_all, looks - 1)
+        self.timers.after(STOP_CHECK_INTERVAL, self._answer_all, rounds - 1)
 
     def _end(self) -> None:
         if self.ended:
             return
         self.ended = True
-        logger.info("ends, {} connections held", self.context.links.used - len(self.backends.probes))
+        logger.info("ends, {} connections open", self.context.links.used - len(self.backends.probes))
         self.audit.final_check()
         self.watching.let_go()
         if self.handover is not None:
@@ -315,8 +341,10 @@
     balancer: MakeBalancer = Balancer,
     joins: Joins | None = None,
 ) -> int:
-    """Runs one relay until it is told to end, and gives its exit code. `joins` adds what the operator's file
-    has on. Raises BadConfigError."""
+    """Runs a relay until it is told to end, and returns its exit code.
+
+    `joins` starts what the operator file enables. Raises BadConfigError.
+    """
     signals.block()
     wanted = read_operator_file() if read_operator_file is not None else None
     log_to_stderr("info")
@@ -326,7 +354,7 @@
     if wanted is not None:
         relay.apply_operator_file(wanted)
     if signals.termination_pending():
-        logger.info("told to end before it served")
+        logger.info("terminated before it started to serve")
         return 0
     try:
         relay.open(config)
@@ -340,7 +368,8 @@
     )
     if joins is not None and wanted is not None:
         joins(relay, config, wanted)
-    # Twisted's own handler for SIGTERM, made as it starts, would end the reactor with every connection.
+    # Installed once the reactor runs: Twisted's own SIGTERM handler, installed as it starts, would stop the
+    # reactor and drop every connection.
     reactor.callWhenRunning(
         signals.install_handlers,
         {signal.SIGHUP: lambda: relay.reload(read_operator_file), signal.SIGTERM: relay.stop},
