--- a/cedarledge/__init__.py
+++ b/cedarledge/__init__.py
@@ -1,3 +1,3 @@
-"""cedarledge: a balancer for long-lived connections."""
+"""Load balancer for long-lived connections."""
 
 __version__ = "0.2.0"
--- a/cedarledge/net/__init__.py
+++ b/cedarledge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The relay on sockets, round the decision module; it decides nothing about tunnels itself."""
+"""The relay's network side; decisions about requests are left to `cedarledge.policy`."""
--- a/cedarledge/net/tunnels.py
+++ b/cedarledge/net/tunnels.py
@@ -307,8 +307,8 @@
         elif backend_id in self.boxes.addresses:
             self._begin_attempt(tunnel_id, backend_id, ADOPT_TIMEOUT - age, ADOPT_CONNECT_TIMEOUT)
         elif self.boxes.heard or age > UNKNOWN_BACKEND_TIMEOUT:
-            # The list does not contain the backend. Until discovery has answered, it may only be newer than the
-            # list that this relay was started with, so the connection waits for a while.
+            # The list does not contain the backend. Until discovery has answered, it may only be newer than
+            # the list that this relay was started with, so the connection waits for a while.
             self.close_with_error(tunnel_id)
         else:
             if age < ADOPT_RETRY_DELAY:
--- a/cedarledge/wirehost/__init__.py
+++ b/cedarledge/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the simulator's wire and the decision module; it decides nothing."""
+"""Adapter between the simulator's protocol and the balancer; it makes no decisions itself."""
--- a/cedarledge/wirehost/__main__.py
+++ b/cedarledge/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""Serve the wire on standard input and output until the input ends."""
+"""Serves the simulator's protocol on standard input and output until the input ends."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 
 def main() -> int:
+    """Answers each line of standard input; returns the exit code, 2 after malformed input."""
     wire = Wire()
     for line in sys.stdin.buffer:
         try:
--- a/cedarledge/wirehost/words.py
+++ b/cedarledge/wirehost/words.py
@@ -1,4 +1,4 @@
-"""The wire's own words, as the module's types."""
+"""The words of the simulator's protocol, mapped to the balancer's types."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
     "restored": ListForm.RESTORED,
     "unavailable": ListForm.UNAVAILABLE,
 }
-STANDINGS = {"Running": BackendState.READY, "Stopping": BackendState.DRAINING, "Deleted": BackendState.GONE}
+BACKEND_STATES = {
+    "Running": BackendState.READY,
+    "Stopping": BackendState.DRAINING,
+    "Deleted": BackendState.GONE,
+}
 OUTCOMES = {
     "S": Outcome.DONE,
     "E": Outcome.ERROR,
