--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,5 +1,5 @@
-"""What the tests share: a recording host that holds the balancer to the four rules, and, for the program on
-sockets, stand-ins for clients, backends and discovery."""
+"""Shared by the tests: a policy host that checks every action of the balancer, and, for tests of the relay
+program, emulated clients, backends and discovery."""
 
 from __future__ import annotations
 
@@ -78,94 +78,112 @@
 
 
 def list_entry(
-    ep: int,
+    backend_id: int,
     standing: BackendState = BackendState.READY,
     started: int = 0,
     cells: int = 2,
     weight: float = 1.0,
 ) -> Listed:
-    return Listed(ep, ep % cells, ep % 2, 0, weight, standing, started, ep)
+    """Returns an entry of the list of backends."""
+    return Listed(backend_id, backend_id % cells, backend_id % 2, 0, weight, standing, started, backend_id)
 
 
 @dataclass
 class ClientRequest:
+    """A request with its attempts, as its host sees it."""
+
     profile: int
     arrived: int
     give_up: int
     answered: bool = False
-    setups: list[list] = field(default_factory=list)  # [ep, sent at, outcome or None, opened]
+    setups: list[list] = field(default_factory=list)  # [backend, start, outcome or None, whether it opened]
 
 
 class RuleCheckingHost:
-    """Records every call, and fails on the first that breaks a rule."""
+    """A policy host that records the balancer's actions and fails on the first that is not allowed.
+
+    Unless `answers` is false, probes of requests that wait for one are answered at once.
+    """
 
-    def __init__(self, site: DeploymentSettings, answers: bool = True) -> None:
-        self.settings = site
+    def __init__(self, settings: DeploymentSettings, answers: bool = True) -> None:
+        self.settings = settings
         self.answers = answers
-        self.now = site.now
+        self.now = settings.now
         self.requests: dict[int, ClientRequest] = {}
         self.listing: dict[int, Listed] = {}
-        self.sends: list[tuple[int, int, int]] = []  # time, tunnel, ep
+        self.sends: list[tuple[int, int, int]] = []  # time, connection, backend
         self.probes: list[tuple[int, int]] = []
         self.moves: list[int] = []
         self.declines: list[tuple[int, int]] = []
         self.watches: list[int] = []
         self.wakes: list[tuple[int, int]] = []
-        self.told: dict[int, float] = {}  # what each backend last reported, and says again when looked at
-        self.balancer = Balancer(self, site)
-
-    # -- the host interface, with the rules ------------------------------------------------------
-
-    def _may_have_run(self, case: ClientRequest) -> list[list]:
-        return [setup for setup in case.setups if setup[2] not in NEVER_RAN]
-
-    def send(self, tun: int, ep: int, timeout: int) -> None:
-        case, row = self.requests[tun], self.settings.profiles[self.requests[tun].profile]
-        assert not case.answered, "a send after the final answer"
-        assert all(setup[2] is not None for setup in case.setups), "two setups out at once"
-        assert len(case.setups) < self.settings.most_setups
-        assert 0 < timeout <= case.give_up - self.now, "a time-out past the client timeout"
-        assert self.listing[ep].standing is BackendState.READY, "a send to a draining or gone backend"
-        ran = self._may_have_run(case)
+        self.told: dict[int, float] = {}  # load that each backend reported last; probes return it again
+        self.balancer = Balancer(self, settings)
+
+    # -- actions of the balancer (terms.PolicyHost), with the checks -----------------------------
+
+    def _may_have_run(self, request: ClientRequest) -> list[list]:
+        return [setup for setup in request.setups if setup[2] not in NEVER_RAN]
+
+    def send(self, connection_id: int, backend_id: int, timeout: int) -> None:
+        request, row = (
+            self.requests[connection_id],
+            self.settings.profiles[self.requests[connection_id].profile],
+        )
+        assert not request.answered, "an attempt after the final answer"
+        assert all(setup[2] is not None for setup in request.setups), "two attempts at once"
+        assert len(request.setups) < self.settings.most_setups
+        assert 0 < timeout <= request.give_up - self.now, (
+            "an attempt that may last longer than the client waits"
+        )
+        assert self.listing[backend_id].standing is BackendState.READY, (
+            "an attempt at a draining or removed backend"
+        )
+        ran = self._may_have_run(request)
         if ran and row.effect is not Effect.REPEATABLE:
-            assert row.effect is Effect.REFERENCED, "a once-only tunnel may run twice"
+            assert row.effect is Effect.REFERENCED, "a request that must not be repeated may run twice"
             first = ran[0]
-            assert self.now < first[1] + row.window, "a repeat outside the window"
-            one, two = self.listing[first[0]], self.listing[ep]
+            assert self.now < first[1] + row.window, "a repetition after the deduplication window"
+            one, two = self.listing[first[0]], self.listing[backend_id]
             assert (
                 row.dedup is Dedup.ALL
                 or (row.dedup is Dedup.ZONE and one.zone == two.zone)
                 or (row.dedup is Dedup.CELL and one.cell == two.cell)
-            ), "a repeat outside the group"
-        case.setups.append([ep, self.now, None, False])
-        self.sends.append((self.now, tun, ep))
-
-    def decline(self, tun: int, come_back: int) -> None:
-        case, row = self.requests[tun], self.settings.profiles[self.requests[tun].profile]
-        assert not case.answered, "two final answers"
+            ), "a repetition outside the deduplication group"
+        request.setups.append([backend_id, self.now, None, False])
+        self.sends.append((self.now, connection_id, backend_id))
+
+    def decline(self, connection_id: int, come_back: int) -> None:
+        request, row = (
+            self.requests[connection_id],
+            self.settings.profiles[self.requests[connection_id].profile],
+        )
+        assert not request.answered, "two final answers"
         assert 0 <= come_back <= self.settings.come_back_max
         assert (
-            not self._may_have_run(case)
+            not self._may_have_run(request)
             or row.effect is Effect.REPEATABLE
             or (row.effect is Effect.REFERENCED and row.dedup is Dedup.ALL)
-        ), "a decline after a run"
-        case.answered = True
-        self.declines.append((self.now, tun))
+        ), "a rejection of a request that may have run"
+        request.answered = True
+        self.declines.append((self.now, connection_id))
 
-    def close_with_error(self, tun: int) -> None:
-        assert not self.requests[tun].answered, "two final answers"
-        self.requests[tun].answered = True
+    def close_with_error(self, connection_id: int) -> None:
+        assert not self.requests[connection_id].answered, "two final answers"
+        self.requests[connection_id].answered = True
 
-    def move(self, tun: int) -> None:
-        assert self.requests[tun].setups[-1][3], "a move of a tunnel that is not open"
-        self.moves.append(tun)
+    def move(self, connection_id: int) -> None:
+        assert self.requests[connection_id].setups[-1][3], "a move of a connection that is not open"
+        self.moves.append(connection_id)
 
-    def probe(self, ep: int) -> None:
-        self.probes.append((self.now, ep))
+    def probe(self, backend_id: int) -> None:
+        self.probes.append((self.now, backend_id))
 
     def wake(self, delay: int, token: int) -> None:
         assert delay > 0
-        self.wakes.append((self.now + delay // 1000 * 1000, token))  # a host that counts microseconds
+        self.wakes.append(
+            (self.now + delay // 1000 * 1000, token)
+        )  # this host's timers have a resolution of 1 us
 
     def watch(self) -> None:
         self.watches.append(self.now)
@@ -173,19 +191,25 @@
     def log(self, text: str) -> None:
         pass
 
-    # -- what happens ------------------------------------------------------------------------------
+    # -- events ------------------------------------------------------------------------------------
 
     def check(self) -> None:
-        for case in self.requests.values():
-            held = case.setups and case.setups[-1][2] is None
-            looks = self.now < case.arrived + self.settings.profiles[case.profile].setup_goal // 4
-            assert case.answered or held or looks, "a tunnel with neither an answer nor a setup out"
+        """Checks that each request is answered, attempted or waiting for a probe."""
+        for request in self.requests.values():
+            is_attempted = request.setups and request.setups[-1][2] is None
+            awaits_probe = (
+                self.now < request.arrived + self.settings.profiles[request.profile].setup_goal // 4
+            )
+            assert request.answered or is_attempted or awaits_probe, (
+                "a request with neither an answer nor an attempt"
+            )
 
     def tell(self, form: ListForm, *entries: Listed) -> None:
+        """Passes a list of backends to the balancer."""
         if form is not ListForm.UNAVAILABLE:
             if form is not ListForm.CHANGES:
-                for ep, old in self.listing.items():
-                    self.listing[ep] = old._replace(standing=BackendState.GONE)
+                for backend_id, old in self.listing.items():
+                    self.listing[backend_id] = old._replace(standing=BackendState.GONE)
             self.listing |= {entry.ep: entry for entry in entries}
         self.balancer.list_changed(self.now, form, list(entries))
 
@@ -198,44 +222,50 @@
         group: str | None = None,
         tenant: int | None = None,
     ) -> int:
-        tun = len(self.requests)
-        self.requests[tun] = ClientRequest(profile, self.now, self.now + budget)
-        self.balancer.tunnel_arrived(self.now, tun, profile, tenant, key, group, budget, hint, False)
-        while self.answers and tun in self.balancer.state.waiting:
-            ep = self.balancer.state.waiting[tun].backend_id
-            self.report(ep, self.told.get(ep, 0.0))
-        return tun
-
-    def adopt(self, ep: int, hint: float | None = None, group: str | None = None) -> int:
-        tun = len(self.requests)
-        self.requests[tun] = ClientRequest(0, self.now, self.now, True, [[ep, self.now, None, True]])
-        self.balancer.adopted(self.now, tun, 0, None, None, group, ep, hint)
-        return tun
-
-    def open(self, tun: int) -> None:
-        setup = self.requests[tun].setups[-1]
-        setup[3] = self.requests[tun].answered = True
-        self.balancer.opened(self.now, tun, self.now - setup[1])
-
-    def end(self, tun: int, outcome: Outcome) -> None:
-        case = self.requests[tun]
-        setup = case.setups[-1]
+        connection_id = len(self.requests)
+        self.requests[connection_id] = ClientRequest(profile, self.now, self.now + budget)
+        self.balancer.tunnel_arrived(
+            self.now, connection_id, profile, tenant, key, group, budget, hint, False
+        )
+        while self.answers and connection_id in self.balancer.state.waiting:
+            backend_id = self.balancer.state.waiting[connection_id].backend_id
+            self.report(backend_id, self.told.get(backend_id, 0.0))
+        return connection_id
+
+    def adopt(self, backend_id: int, hint: float | None = None, group: str | None = None) -> int:
+        connection_id = len(self.requests)
+        self.requests[connection_id] = ClientRequest(
+            0, self.now, self.now, True, [[backend_id, self.now, None, True]]
+        )
+        self.balancer.adopted(self.now, connection_id, 0, None, None, group, backend_id, hint)
+        return connection_id
+
+    def open(self, connection_id: int) -> None:
+        setup = self.requests[connection_id].setups[-1]
+        setup[3] = self.requests[connection_id].answered = True
+        self.balancer.opened(self.now, connection_id, self.now - setup[1])
+
+    def end(self, connection_id: int, outcome: Outcome) -> None:
+        request = self.requests[connection_id]
+        setup = request.setups[-1]
         setup[2] = outcome
         if outcome is Outcome.DONE:
-            case.answered = True
-        self.balancer.setup_ended(self.now, tun, setup[0], case.answered, outcome, self.now - setup[1], None)
+            request.answered = True
+        self.balancer.setup_ended(
+            self.now, connection_id, setup[0], request.answered, outcome, self.now - setup[1], None
+        )
 
     def end_moved(self) -> None:
-        for tun in self.moves:
-            if self.requests[tun].setups[-1][2] is None:
-                self.end(tun, Outcome.CANCELLED)
+        for connection_id in self.moves:
+            if self.requests[connection_id].setups[-1][2] is None:
+                self.end(connection_id, Outcome.CANCELLED)
 
-    def report(self, ep: int, asked: float) -> None:
-        self.told[ep] = asked
-        self.balancer.probed(self.now, ep, True, LoadReport(asked=asked))
+    def report(self, backend_id: int, asked: float) -> None:
+        self.told[backend_id] = asked
+        self.balancer.probed(self.now, backend_id, True, LoadReport(asked=asked))
 
     def run(self, span: int) -> None:
-        """Lets time pass, with the wakes that fall due."""
+        """Lets time pass, with the timers that fall due."""
         end = self.now + span
         while due := [wake for wake in self.wakes if wake[0] <= end]:
             wake = min(due)
@@ -249,24 +279,24 @@
     size: int = 6, asked: float | None = 0.3, cells: int = 2, **other: object
 ) -> RuleCheckingHost:
     host = RuleCheckingHost(make_settings(**other))
-    host.tell(ListForm.RESTORED, *(list_entry(ep, cells=cells) for ep in range(size)))
+    host.tell(ListForm.RESTORED, *(list_entry(backend_id, cells=cells) for backend_id in range(size)))
     if asked is not None:
-        for ep in range(size):
-            host.report(ep, asked)
+        for backend_id in range(size):
+            host.report(backend_id, asked)
     return host
 
 
 def learn_loads(host: RuleCheckingHost) -> None:
-    """Eight tunnels of 100 on the fleet, and reports of half its load."""
+    """Opens eight connections of load 100 and reports all backends half loaded four times."""
     for number in range(8):
         host.open(host.arrive(hint=100.0, key=str(number)))
     for _ in range(4):
         host.now += 500 * MS
-        for ep in host.listing:
-            host.report(ep, 0.5)
+        for backend_id in host.listing:
+            host.report(backend_id, 0.5)
 
 
-# -- the program on sockets ------------------------------------------------------------------------
+# -- the relay program -----------------------------------------------------------------------------
 
 SETTINGS = {
     "allowed": {"most_setups": 4, "probes": True, "connect_timeout": 150_000, "conn_idle": 15_000_000},
@@ -303,13 +333,14 @@
 
 
 def reset(link: socket.socket, file: IO[bytes]) -> None:
+    """Closes a connection by a TCP reset."""
     link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     file.close()
     link.close()
 
 
 class LoopbackServer:
-    """A server on loopback with a thread for each connection."""
+    """A server on the loopback interface with one thread per connection."""
 
     def __init__(self) -> None:
         self.socket = socket.create_server(("127.0.0.1", 0), backlog=512)
@@ -333,18 +364,20 @@
 
 
 class Backend(LoopbackServer):
-    """Answers OPEN by the next of its modes, the last for good: a line (perhaps " then reset"), "reset" or
-    "hang". Then it echoes."""
+    """An emulated backend that answers each OPEN by its next mode, and by the last one from then on.
+
+    A mode is a line, a line with " then reset", "reset" or "hang". After the answer it echoes lines.
+    """
 
     def __init__(self, name: str, *modes: str) -> None:
         self.name = name
         self.modes = list(modes) or ["UP r"]
-        self.ends: list[str] = []  # how clients' connections ended, as seen here
-        self.deaf = False
+        self.ends: list[str] = []  # how each connection ended, as seen here: "ended" or "reset"
+        self.deaf = False  # lines get no response
         self.stats = "utilization=0.2,recent_ms=4,x0=0.2"
         self.heads: list[str] = []
         self.opened: list[socket.socket] = []
-        self.last: socket.socket  # by which the newest head came
+        self.last: socket.socket  # connection of the newest OPEN
         super().__init__()
 
     def entry(self, phase: str = "up") -> dict:
@@ -387,7 +420,7 @@
                 if mode == "reset":
                     reset(link, lines)
                     return
-                # Noted before it is said: whoever hears UP may look here at once.
+                # Recorded before the answer is sent, as the test may look at it right after the answer.
                 if mode.startswith("UP"):
                     self.opened.append(link)
                 if mode != "hang":
@@ -402,7 +435,7 @@
 
 
 class Discovery(LoopbackServer):
-    """Holds the list and its revision; a watch waits for the next change."""
+    """An emulated discovery service: holds the list and its revision; a watch waits for the next change."""
 
     def __init__(self, members: list[dict]) -> None:
         self.members = members
@@ -410,17 +443,18 @@
         self.changes: list[dict] = []
         self.calls: list[tuple[float, str]] = []
         self.answered: list[float] = []
-        self.broken: bytes | None = None  # said in place of the next answers
-        self.back = 0  # how far the revisions that it tells have gone back
-        self.twice = False  # every answer is said twice
+        self.broken: bytes | None = None  # sent instead of the next answers
+        self.back = 0  # subtracted from the revisions that it reports
+        self.twice = False  # every answer is sent twice
         self.changed = threading.Condition()
         self.links: set[socket.socket] = set()
-        self.silent: dict[socket.socket, bytes] = {}  # what each of those still says
-        self.down = False  # every call ends with a reset
+        # Connections that fall silent, with the bytes that they still send.
+        self.silent: dict[socket.socket, bytes] = {}
+        self.down = False  # every call is reset
         super().__init__()
 
     def fall_silent(self, part: bytes = b"") -> None:
-        """Who is connected now hears that much of the next answer, and nothing after it."""
+        """On connections that are open now, sends only `part` of the next answer and nothing after it."""
         self.silent |= dict.fromkeys(self.links, part)
 
     def go_down(self) -> None:
@@ -476,7 +510,7 @@
 
 
 class Client:
-    """One client's connection to the relay."""
+    """A client's connection to the relay."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.link = socket.create_connection(address, timeout=8)
@@ -487,7 +521,7 @@
         return self.read_line()
 
     def read_line(self) -> str:
-        """The next line; empty at the end, "reset" where the connection was reset."""
+        """Returns the next line; "" at the end of the connection, "reset" if it was reset."""
         try:
             return self.file.readline().decode().removesuffix("\r\n")
         except ConnectionResetError:
@@ -502,19 +536,20 @@
         return self.say(f"OPEN {self.id} {key} {names}")
 
 
-# Below those that the system deals out: between its choice and its opening by the relay any connection of a
-# test beside this one could take it, and the relay would not start. Runs side by side begin elsewhere.
+# Ports below the system's ephemeral range: a connection of a concurrent test could take an ephemeral port
+# between its choice and its opening by the relay, which then would not start. Concurrent processes begin at
+# different places of the range.
 PORTS = cycle(range(10_000, 32_000))
 for _ in range(os.getpid() * 977 % 22_000):
     next(PORTS)
 
 
 def free_port() -> int:
-    """One that nobody listens at."""
+    """Returns a port on which nothing listens."""
     for port in PORTS:
         with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
             return port
-    raise AssertionError("it goes round")
+    raise AssertionError("unreachable, as the ports are tried in a cycle")
 
 
 def is_paused(pid: int) -> bool:
@@ -522,9 +557,9 @@
 
 
 class RelayProgram:
-    """The relay, started as a program."""
+    """The relay, started as a process."""
 
-    environment: Mapping[str, str] = {}  # beside this process's own
+    environment: Mapping[str, str] = {}  # in addition to this process's own
 
     def __init__(
         self, tmp: Path, backends: list[Backend], arguments: Sequence[str] = (), **other: object
@@ -533,7 +568,7 @@
         self.arguments = arguments
         self.discovery = Discovery([backend.entry() for backend in backends])
         self.address = ("127.0.0.1", free_port())
-        told = {
+        config = {
             "name": "n0",
             "listen": "{}:{}".format(*self.address),
             "discovery": self.discovery.address,
@@ -542,9 +577,9 @@
             "known": {"revision": 7, "complete": True, "members": self.discovery.members},
             "settings": SETTINGS,
         } | other
-        self.told = told
-        self.path = tmp / "told.json"
-        self.path.write_text(json.dumps(told))
+        self.told = config
+        self.path = tmp / "config.json"
+        self.path.write_text(json.dumps(config))
         self.log = tmp / "log"
         self.start()
 
@@ -585,7 +620,7 @@
         self.until_paused()
 
     def until_paused(self) -> None:
-        """Also where it stops by itself."""
+        """Waits until the process is stopped, by whatever signal or by itself."""
         wait_until(lambda: is_paused(self.process.pid))
 
     def resume(self) -> None:
@@ -596,10 +631,10 @@
 
 
 def wait_until(holds: Callable[[], bool], within: float = 8) -> float:
-    """Waits for something to hold, and says how long that took."""
+    """Waits until a condition holds, and returns how long that took, in s."""
     start = time.monotonic()
     while not holds():
-        assert time.monotonic() - start < within, "does not come to hold"
+        assert time.monotonic() - start < within, "the condition did not hold in time"
         time.sleep(0.005)
     return time.monotonic() - start
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -73,13 +73,13 @@
     monkeypatch.setattr(relays, "steady_clock", lambda: lambda: round((reactor.seconds() + 1e9) * SECOND))
     members = [
         {
-            "id": f"s-{ep}",
-            "host_port": f"127.0.0.1:{9000 + ep}",
-            "cell": ep % 2,
+            "id": f"s-{backend_id}",
+            "host_port": f"127.0.0.1:{9000 + backend_id}",
+            "cell": backend_id % 2,
             "phase": "up",
-            "up_since_ms": 1_000_000_003_000 * (ep == 2),
+            "up_since_ms": 1_000_000_003_000 * (backend_id == 2),
         }
-        for ep in range(len(LOADS))
+        for backend_id in range(len(LOADS))
     ]
     return relays.Relay(
         reactor,
@@ -111,8 +111,8 @@
         for number in range(ROUNDS):
             # In steps shorter than the grace of an answer: with longer ones each would come late.
             reactor.pump([0.05] * 5)
-            for ep, load in enumerate(LOADS):
-                relay.probe_ended(ep, True, LoadReport(asked=load))
+            for backend_id, load in enumerate(LOADS):
+                relay.probe_ended(backend_id, True, LoadReport(asked=load))
             clients.append(Client())
             name, wait = rows[number % len(rows)]
             relay.tunnels.request_arrived(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Random runs against the recording host, which checks the rules at every call and after every step."""
+"""Random sequences of events; the host checks each action of the balancer, and its state after each event."""
 
 from __future__ import annotations
 
@@ -9,11 +9,13 @@
 
 from cedarledge.terms import BackendState, ListForm, Outcome
 
-EPS = st.integers(0, 7)
+BACKEND_IDS = st.integers(0, 7)
 FAILURES = st.sampled_from([outcome for outcome in Outcome if outcome is not Outcome.DONE])
 
 
-class Days(RuleBasedStateMachine):
+class RandomEvents(RuleBasedStateMachine):
+    """Events of requests, backends, lists and time in any order."""
+
     @initialize(
         seed=st.integers(0, 99),
         ask=st.booleans(),
@@ -54,11 +56,17 @@
             )
         )
         self.host.tell(
-            ListForm.RESTORED, *(list_entry(ep, weight=1.0 + ep % 3, cells=cells) for ep in range(4))
+            ListForm.RESTORED,
+            *(list_entry(backend_id, weight=1.0 + backend_id % 3, cells=cells) for backend_id in range(4)),
         )
 
-    def out(self) -> list[int]:
-        return [tun for tun, case in self.host.requests.items() if case.setups and case.setups[-1][2] is None]
+    def attempted(self) -> list[int]:
+        """Returns the connections with an attempt in progress, or open."""
+        return [
+            connection_id
+            for connection_id, request in self.host.requests.items()
+            if request.setups and request.setups[-1][2] is None
+        ]
 
     @rule(
         profile=st.integers(0, 4),
@@ -79,73 +87,75 @@
     ) -> None:
         self.host.arrive(profile, key, budget * MS, hint, group, tenant)
 
-    @precondition(lambda self: self.out())
+    @precondition(lambda self: self.attempted())
     @rule(data=st.data(), outcome=FAILURES)
     def fail(self, data: st.DataObject, outcome: Outcome) -> None:
-        tun = data.draw(st.sampled_from(self.out()))
-        self.host.end(tun, outcome)
+        connection_id = data.draw(st.sampled_from(self.attempted()))
+        self.host.end(connection_id, outcome)
 
-    @precondition(lambda self: self.out())
+    @precondition(lambda self: self.attempted())
     @rule(data=st.data())
     def open_or_finish(self, data: st.DataObject) -> None:
-        tun = data.draw(st.sampled_from(self.out()))
-        if self.host.requests[tun].setups[-1][3]:
-            self.host.end(tun, Outcome.DONE)
-        elif not self.host.requests[tun].answered:
-            self.host.open(tun)
+        connection_id = data.draw(st.sampled_from(self.attempted()))
+        if self.host.requests[connection_id].setups[-1][3]:
+            self.host.end(connection_id, Outcome.DONE)
+        elif not self.host.requests[connection_id].answered:
+            self.host.open(connection_id)
 
-    @precondition(lambda self: self.out())
+    @precondition(lambda self: self.attempted())
     @rule(data=st.data(), load=st.floats(0, 1e6), delay=st.integers(0, 500))
-    def note(self, data: st.DataObject, load: float, delay: int) -> None:
-        tun = data.draw(st.sampled_from(self.out()))
-        self.host.balancer.load_told(self.host.now, tun, load)
-        ep = self.host.requests[tun].setups[-1][0]
-        self.host.balancer.delay_told(self.host.now, ep, delay * MS)
+    def report_load_and_delay(self, data: st.DataObject, load: float, delay: int) -> None:
+        connection_id = data.draw(st.sampled_from(self.attempted()))
+        self.host.balancer.load_told(self.host.now, connection_id, load)
+        backend_id = self.host.requests[connection_id].setups[-1][0]
+        self.host.balancer.delay_told(self.host.now, backend_id, delay * MS)
 
-    @precondition(lambda self: self.out())
+    @precondition(lambda self: self.attempted())
     @rule(data=st.data())
     def client_leaves(self, data: st.DataObject) -> None:
-        tun = data.draw(st.sampled_from(self.out()))
-        if not self.host.requests[tun].answered:
-            self.host.requests[tun].answered = True
-            self.host.balancer.client_gone(self.host.now, tun)
-
-    @rule(ep=EPS, asked=st.floats(0, 3))
-    def report(self, ep: int, asked: float) -> None:
-        if ep in self.host.listing:
-            self.host.report(ep, asked)
-
-    @rule(ep=EPS, standing=st.sampled_from(BackendState), restarted=st.booleans())
-    def change(self, ep: int, standing: BackendState, restarted: bool) -> None:
+        connection_id = data.draw(st.sampled_from(self.attempted()))
+        if not self.host.requests[connection_id].answered:
+            self.host.requests[connection_id].answered = True
+            self.host.balancer.client_gone(self.host.now, connection_id)
+
+    @rule(backend_id=BACKEND_IDS, asked=st.floats(0, 3))
+    def report(self, backend_id: int, asked: float) -> None:
+        if backend_id in self.host.listing:
+            self.host.report(backend_id, asked)
+
+    @rule(backend_id=BACKEND_IDS, standing=st.sampled_from(BackendState), restarted=st.booleans())
+    def change(self, backend_id: int, standing: BackendState, restarted: bool) -> None:
         started = self.host.now if restarted else 0
-        self.host.tell(ListForm.CHANGES, list_entry(ep, standing, started, self.cells))
+        self.host.tell(ListForm.CHANGES, list_entry(backend_id, standing, started, self.cells))
 
-    @rule(eps=st.sets(EPS), form=st.sampled_from([ListForm.WHOLE, ListForm.UNAVAILABLE]))
-    def relist(self, eps: set[int], form: ListForm) -> None:
-        self.host.tell(form, *(list_entry(ep, cells=self.cells) for ep in sorted(eps)))
+    @rule(backend_ids=st.sets(BACKEND_IDS), form=st.sampled_from([ListForm.WHOLE, ListForm.UNAVAILABLE]))
+    def relist(self, backend_ids: set[int], form: ListForm) -> None:
+        self.host.tell(
+            form, *(list_entry(backend_id, cells=self.cells) for backend_id in sorted(backend_ids))
+        )
 
     @rule(span=st.integers(1, 4000))
     def time_passes(self, span: int) -> None:
         self.host.run(span * MS)
-        for tun in self.out():
-            case = self.host.requests[tun]
-            if not case.answered and case.give_up <= self.host.now:
-                self.host.end(tun, Outcome.TIMEOUT)
+        for connection_id in self.attempted():
+            request = self.host.requests[connection_id]
+            if not request.answered and request.give_up <= self.host.now:
+                self.host.end(connection_id, Outcome.TIMEOUT)
 
     @invariant()
     def rules_are_kept(self) -> None:
-        if hasattr(self, "ledger"):
+        if hasattr(self, "host"):
             self.host.check()
 
 
-Days.TestCase.settings = settings(
+RandomEvents.TestCase.settings = settings(
     derandomize=True,
     max_examples=150,
     stateful_step_count=40,
     deadline=None,
     suppress_health_check=list(HealthCheck),
 )
-TestDays = Days.TestCase
+TestRandomEvents = RandomEvents.TestCase
 
 
 @given(
@@ -162,33 +172,36 @@
     hosts = [
         host_with_backends(4, load, relays=relays, me=me, seed=seed * relays + me) for me in range(relays)
     ]
-    held = 160  # by all relays, so a member that is full holds 40 / load
-    for tun in range(held):
-        hosts[tun % relays].adopt(tun // relays % 4)
-    site = hosts[0].settings
-    started = site.now - age * SECOND
+    connections = 160  # of all relays, 40 for each backend, so a fully loaded one has 40 / load
+    for connection_id in range(connections):
+        hosts[connection_id % relays].adopt(connection_id // relays % 4)
+    deployment = hosts[0].settings
+    started = deployment.now - age * SECOND
     for host in hosts:
         host.run(SECOND)
-        for ep in range(4):
-            host.report(ep, load)
+        for backend_id in range(4):
+            host.report(backend_id, load)
         host.run(SECOND)
         host.tell(ListForm.CHANGES, list_entry(9, started=started))
     for number in range(rush * 12):
         host = hosts[number * 7 % relays]
-        host.run(site.now + 2 * SECOND + number * SECOND // rush - host.now)
-        tun = host.arrive(key=f"rush {number}")
-        if not host.requests[tun].answered:
-            host.open(tun)
-            if host.requests[tun].setups[-1][0] != 9:
-                host.end(tun, Outcome.DONE)
+        host.run(deployment.now + 2 * SECOND + number * SECOND // rush - host.now)
+        connection_id = host.arrive(key=f"rush {number}")
+        if not host.requests[connection_id].answered:
+            host.open(connection_id)
+            if host.requests[connection_id].setups[-1][0] != 9:
+                host.end(connection_id, Outcome.DONE)
     sends = sorted(
-        at for host in hosts for at, _, ep in host.sends if ep == 9 and at < started + site.warm_within
+        at
+        for host in hosts
+        for at, _, backend_id in host.sends
+        if backend_id == 9 and at < started + deployment.warm_within
     )
-    assert sends, "the budget is there to be used"
+    assert sends, "some of the slow-start budget must be used"
     for at in sends:
-        share = site.cold_from + (1 - site.cold_from) * (at - started) / site.warm_within
-        budget = site.fall_multiple * share * 40 / load * site.fall_span / site.warm_within
-        assert sum(at - site.fall_span < other <= at for other in sends) <= budget
+        share = deployment.cold_from + (1 - deployment.cold_from) * (at - started) / deployment.warm_within
+        budget = deployment.fall_multiple * share * 40 / load * deployment.fall_span / deployment.warm_within
+        assert sum(at - deployment.fall_span < other <= at for other in sends) <= budget
 
 
 @given(
@@ -205,8 +218,8 @@
     host = host_with_backends(size, None, cells=cells, relays=relays, me=me)
     for turn in range(4):
         for number in range(10):
-            tun = host.arrive(key=f"{turn} {number}")
-            assert host.requests[tun].setups or not size or gone == turn
+            connection_id = host.arrive(key=f"{turn} {number}")
+            assert host.requests[connection_id].setups or not size or gone == turn
         host.run(3 * SECOND)
         host.check()
         changes = (
@@ -215,4 +228,7 @@
             else (BackendState.DRAINING, BackendState.READY)
         )
         for standing in changes:
-            host.tell(ListForm.CHANGES, *(list_entry(ep, standing, cells=cells) for ep in range(size)))
+            host.tell(
+                ListForm.CHANGES,
+                *(list_entry(backend_id, standing, cells=cells) for backend_id in range(size)),
+            )
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -31,7 +31,7 @@
         self.cost = cost
         self.fails = fails
 
-    def moved(self, now: int, tun: int, ep: int) -> None:
+    def moved(self, now: int, connection_id: int, backend_id: int) -> None:
         self.heard += 1
         Ear.watch += self.cost
         if self.fails:
@@ -181,11 +181,11 @@
     host.balancer.knows(host.now, ExternalView(aside=frozenset({0, 1, 2})))
     for number in range(6):
         host.arrive(key=f"k{number}")
-    assert {ep for _, _, ep in host.sends} == {3}
+    assert {backend_id for _, _, backend_id in host.sends} == {3}
     host.balancer.knows(host.now, ExternalView(aside=frozenset(range(4))))
     for number in range(30):
         host.arrive(key=f"n{number}")
-    assert len({ep for _, _, ep in host.sends}) > 1
+    assert len({backend_id for _, _, backend_id in host.sends}) > 1
 
 
 def test_the_operators_file_is_followed_and_read_again_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
