--- a/cedarledge/net/eventlog.py
+++ b/cedarledge/net/eventlog.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from cedarledge.net.interfaces import Observer
-from cedarledge.terms import Listed, ListForm, LoadReport, Outcome
+from cedarledge.terms import BackendEntry, ListForm, LoadReport, Outcome
 
 
 class EventLog(Observer):
@@ -69,7 +69,7 @@
     def ended(self, now: int, tunnel_id: int, took: int) -> None:
         self._say("ended", "tunnel.ended", tunnel=tunnel_id, took=took)
 
-    def listed(self, now: int, form: ListForm, entries: list[Listed]) -> None:
+    def listed(self, now: int, form: ListForm, entries: list[BackendEntry]) -> None:
         if form is ListForm.UNAVAILABLE:
             self._say("list", "list.lost")
         else:
@@ -77,5 +77,9 @@
 
     def probed(self, now: int, backend_id: int, answered: bool, report: LoadReport) -> None:
         self._say(
-            "probe", "box.probed", backend=self._boxes[backend_id], answered=answered, asked=report.asked
+            "probe",
+            "box.probed",
+            backend=self._boxes[backend_id],
+            answered=answered,
+            asked=report.offered_load,
         )
--- a/cedarledge/net/interfaces.py
+++ b/cedarledge/net/interfaces.py
@@ -13,7 +13,7 @@
 
 from typing import TYPE_CHECKING, Any, Protocol
 
-from cedarledge.terms import Listed, ListForm, LoadReport, Outcome
+from cedarledge.terms import BackendEntry, ListForm, LoadReport, Outcome
 
 if TYPE_CHECKING:
     from cedarledge.net.clients import OpenRequest
@@ -134,7 +134,7 @@
     def ended(self, now: int, tunnel_id: int, took: int) -> None:
         """The slot was released, `took` ns after the request arrived; its id may be reused from now on."""
 
-    def listed(self, now: int, form: ListForm, entries: list[Listed]) -> None:
+    def listed(self, now: int, form: ListForm, entries: list[BackendEntry]) -> None:
         """The list of backends changed, or became unavailable."""
 
     def probed(self, now: int, backend_id: int, answered: bool, report: LoadReport) -> None:
--- a/cedarledge/net/relay.py
+++ b/cedarledge/net/relay.py
@@ -114,7 +114,7 @@
             # Clients' lines come back at once however slow the backend's messages are, so they only reveal
             # backends that hang.
             deployment = deployment_settings(settings, config.seed, self.clock(), self.boxes.zones)._replace(
-                delays_told=False
+                message_delays_known=False
             )
             allowed, reports = settings["allowed"], settings.get("load_report") or {}
             connect_timeout = int(allowed["connect_timeout"]) * US or MAX_STOP_TIME  # 0: no limit is set
@@ -124,8 +124,8 @@
                 self.timers,
                 config.discovery,
                 int(config.known["revision"]),
-                deployment.ask_every,
-                not deployment.must_ask,
+                deployment.list_request_interval,
+                not deployment.requests_list,
                 self.policy_host.random,
                 self.boxes.told,
                 self.boxes.lost,
@@ -149,7 +149,7 @@
                 self.tunnels,
                 self.probe_ended,
                 ReportReader(settings),
-                Paces((deployment.tightest or min(setup_goals)) // 5),
+                Paces((deployment.shortest_message_goal or min(setup_goals)) // 5),
                 connect_timeout,
                 # A probe that takes longer than the shortest setup goal counts as failed.
                 probe_within=min(setup_goals),
@@ -160,7 +160,7 @@
             tells = (settings.get("domain") or {}).get("tells_delay")
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as why:
             raise BadConfigError(f"the settings can't be used: {why!r}") from why
-        slow = deployment.tightest // 3 if tells else 0
+        slow = deployment.shortest_message_goal // 3 if tells else 0
         self.reported_delays, line_delays = (Delays(self.clock, slow, self.message_delayed) for _ in range(2))
         self.tunnels.connect(self.backends, Echoes(self.clock, self.timers, line_delays, self.tunnels.silent))
         self.policy_host.connect(self.tunnels, self.backends, self.boxes, self.watching)
@@ -175,7 +175,7 @@
         self.permanent_observers: list[Observer] = []
         self.policy_host.start(deployment, balancer)
         self.boxes.take_in(ListForm.RESTORED, config.known["members"])
-        if not deployment.must_ask:
+        if not deployment.requests_list:
             # If the list is pushed, the balancer leaves it to its host to start following it.
             self.watching.start()
 
@@ -215,7 +215,7 @@
     def message_delayed(self, backend_id: int, delay: int) -> None:
         """Reports to the balancer how long (ns) a message takes at a backend."""
         logger.debug("a message takes {} ms at {}", delay // MS, self.boxes.backend_ids.names[backend_id])
-        self.policy_host.call(self.policy_host.balancer.delay_told, backend_id, delay)
+        self.policy_host.call(self.policy_host.balancer.message_delay_changed, backend_id, delay)
 
     def probe_ended(self, backend_id: int, answered: bool, report: LoadReport) -> None:
         """Reports the end of a probe to the balancer and the observers."""
@@ -223,7 +223,7 @@
         if report.service_time is not None:
             # Clients' lines do not show how long messages take; the backend's own report does.
             self.reported_delays.took(backend_id, int(report.service_time))
-        self.policy_host.call(self.policy_host.balancer.probed, backend_id, answered, report)
+        self.policy_host.call(self.policy_host.balancer.probe_ended, backend_id, answered, report)
         self.observers.notify("probed", backend_id, answered, report)
 
     def add_observer(self, observer: Observer) -> None:
@@ -296,7 +296,7 @@
         ):
             wait = int(MOVE_DELAY_SHARE * self.stop_within)
             within = self.stop_within + EXTRA_STOP_TIME - wait
-        self.timers.after(wait, self.policy_host.call, self.policy_host.balancer.stopping, within)
+        self.timers.after(wait, self.policy_host.call, self.policy_host.balancer.drain_started, within)
         # Received data is read first: after a pause of this process there may be connections to accept and
         # lines to read, which the end of the process would reset without an answer.
         self.timers.after_reading(
--- a/cedarledge/net/request_guard.py
+++ b/cedarledge/net/request_guard.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from cedarledge.net.invariants import Invariant, Invariants
-from cedarledge.terms import MS, NEVER_RAN, Dedup, Effect, Outcome, ProfileRow
+from cedarledge.terms import MS, NEVER_RAN, Dedup, Effect, Outcome, RequestClassSettings
 
 # The platform tolerates this much past each time limit on sockets.
 TIME_LIMIT_GRACE = 50 * MS
@@ -83,7 +83,7 @@
         self,
         invariants: Invariants,
         clock: Callable[[], int],
-        classes: Sequence[ProfileRow],
+        classes: Sequence[RequestClassSettings],
         listed: Mapping[int, Mapping[str, Any]],
         names: Sequence[str],
     ) -> None:
--- a/cedarledge/net/service.py
+++ b/cedarledge/net/service.py
@@ -72,7 +72,7 @@
         self.frontend.out_of_service = True
         logger.info("out of service: {} tunnels are sent away", self.tunnels.table.used)
         if not self.stopping:
-            self.policy_host.call(self.policy_host.balancer.stopping, EMPTY_WITHIN)
+            self.policy_host.call(self.policy_host.balancer.drain_started, EMPTY_WITHIN)
             self._sweep = self.timers.after_reading(ANSWER_ALL_AFTER, self.tunnels.close_all)
 
     def return_to_service(self) -> None:
@@ -82,7 +82,7 @@
         logger.info("in service again with {} tunnels", self.tunnels.table.used)
         if not self.stopping:
             self.timers.cancel(self._sweep)
-            self.policy_host.call(self.policy_host.balancer.staying)
+            self.policy_host.call(self.policy_host.balancer.drain_cancelled)
 
     def take_backend_offline(self, name: str) -> None:
         backend_id = self._known(name)
--- a/cedarledge/net/tunnels.py
+++ b/cedarledge/net/tunnels.py
@@ -19,7 +19,7 @@
 from cedarledge.net.request_guard import RequestGuard, RequestRecord
 from cedarledge.net.slots import NoFreeSlotError, SlotTable
 from cedarledge.policy.estimators import DecayingSum
-from cedarledge.terms import MS, SECOND, LoadReport, Outcome, ProfileRow
+from cedarledge.terms import MS, SECOND, LoadReport, Outcome, RequestClassSettings
 
 # A request is invalid if its timeout is more than this many times the client timeout of its profile.
 MAX_TIMEOUT_FACTOR = 2
@@ -99,7 +99,7 @@
         tenants: Mapping[str, int],
         client_timeouts: Sequence[int],
         connect_timeout: int,
-        classes: Sequence[ProfileRow] = (),
+        classes: Sequence[RequestClassSettings] = (),
     ) -> None:
         """Holds at most `capacity` tunnels.
 
@@ -173,13 +173,13 @@
         except NoFreeSlotError:
             self._report_not_sent(tunnel_id, backend_id)
 
-    def decline(self, tunnel_id: int, come_back: int) -> None:
+    def decline(self, tunnel_id: int, retry_after: int) -> None:
         """Rejects a request; answers with an error if it may have run and must not be repeated."""
         tunnel = self.table.get(tunnel_id)
         if not self.guard.may_reject(tunnel.request):
             self.close_with_error(tunnel_id)
             return
-        tunnel.client.reject(come_back)
+        tunnel.client.reject(retry_after)
         self.context.rate_limited_log.about("rejected", lambda: self.guard.describe(tunnel.request))
         self._finish_answered(tunnel_id, True)
 
@@ -246,7 +246,7 @@
         if open_request.returning:
             self.net_returned_clients.add(self.clock(), 1)
         if not self.policy_host.call(
-            self.policy_host.balancer.tunnel_arrived,
+            self.policy_host.balancer.connection_requested,
             tunnel_id,
             profile,
             tenant,
@@ -283,7 +283,7 @@
             tunnel.request.attempt_ended(outcome)
             if tunnel.known_to_policy:
                 self.policy_host.call(
-                    self.policy_host.balancer.setup_ended,
+                    self.policy_host.balancer.attempt_ended,
                     tunnel_id,
                     setup.backend_id,
                     True,
@@ -314,7 +314,7 @@
             if age < ADOPT_RETRY_DELAY:
                 # Relays that start together spread their first call of the discovery service; this
                 # connection can't wait for it.
-                self.policy_host.watch()
+                self.policy_host.request_list()
             self.timers.after(ADOPT_RETRY_DELAY, self._adopt, tunnel_id)
 
     # -- events of attempts ------------------------------------------------------------------------
@@ -365,12 +365,12 @@
         client.transport.registerProducer(setup.transport, True)
         setup.transport.registerProducer(client.transport, True)
         if tunnel.known_to_policy:
-            self.policy_host.call(self.policy_host.balancer.opened, tunnel_id, took)
+            self.policy_host.call(self.policy_host.balancer.connection_opened, tunnel_id, took)
         else:
             open_request = tunnel.open_request
             tunnel.known_to_policy = True
             self.policy_host.call(
-                self.policy_host.balancer.adopted,
+                self.policy_host.balancer.connection_adopted,
                 tunnel_id,
                 tunnel.profile,
                 tunnel.tenant,
@@ -396,7 +396,7 @@
             except ValueError:
                 self.context.rate_limited_log.about("backend", f"invalid load: {line[:80]!r}")
                 continue
-            self.policy_host.call(self.policy_host.balancer.load_told, tunnel_id, load)
+            self.policy_host.call(self.policy_host.balancer.load_changed, tunnel_id, load)
 
     def setup_over(
         self,
@@ -415,7 +415,7 @@
         if tunnel is None:
             # The attempt found no free slot and its client has left since; the balancer still counts it.
             self.policy_host.call(
-                self.policy_host.balancer.setup_ended, tunnel_id, backend_id, True, outcome, took, report
+                self.policy_host.balancer.attempt_ended, tunnel_id, backend_id, True, outcome, took, report
             )
             return
         logger.debug(
@@ -450,7 +450,7 @@
                 self.close_with_error(tunnel_id)
             return
         if not self.policy_host.call(
-            self.policy_host.balancer.setup_ended, tunnel_id, backend_id, was_open, outcome, took, report
+            self.policy_host.balancer.attempt_ended, tunnel_id, backend_id, was_open, outcome, took, report
         ):
             self.fail_request(tunnel_id)
         if was_open:
@@ -465,13 +465,19 @@
         tunnel = self.table.get(tunnel_id)
         self._counts["silent"] += 1
         logger.info("silent: {}", self.guard.describe(tunnel.request))
-        self.policy_host.call(self.policy_host.balancer.silent, tunnel_id)
+        self.policy_host.call(self.policy_host.balancer.connection_unresponsive, tunnel_id)
 
     # -- the end of a tunnel -----------------------------------------------------------------------
 
     def _finish_moved(self, tunnel_id: int, backend_id: int, took: int) -> None:
         self.policy_host.call(
-            self.policy_host.balancer.setup_ended, tunnel_id, backend_id, True, Outcome.CANCELLED, took, None
+            self.policy_host.balancer.attempt_ended,
+            tunnel_id,
+            backend_id,
+            True,
+            Outcome.CANCELLED,
+            took,
+            None,
         )
         self._release(tunnel_id)
 
--- a/cedarledge/wirehost/wire.py
+++ b/cedarledge/wirehost/wire.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from cedarledge.policy import Balancer
-from cedarledge.settings import US, Indices, ReportReader, deployment_settings, mark_of
-from cedarledge.terms import Listed, LoadReport, Outcome
+from cedarledge.settings import US, Indices, ReportReader, deployment_settings, stable_hash
+from cedarledge.terms import BackendEntry, LoadReport, Outcome
 from cedarledge.wirehost.words import BACKEND_STATES, FORMS, OUTCOMES
 
 RETURNING_FLAGS = 2 | 16  # the client repeats a request; it is back after a break or a move
@@ -46,7 +46,7 @@
 
     # -- the balancer's actions --------------------------------------------------------------
 
-    def send(self, connection_id: int, backend_id: int, timeout: int) -> None:
+    def attempt(self, connection_id: int, backend_id: int, timeout: int) -> None:
         """Begins an attempt, to be answered within `timeout` ns."""
         self.running_attempts[connection_id] += 1
         self.out.append(
@@ -59,9 +59,9 @@
             ]
         )
 
-    def decline(self, connection_id: int, come_back: int) -> None:
-        """Rejects a request; `come_back` is the suggested wait in ns, 0 for none."""
-        self.out.append(["turn_away", self.relay, self.wire_ids[connection_id], come_back // US])
+    def reject(self, connection_id: int, retry_after: int) -> None:
+        """Rejects a request; `retry_after` is the suggested wait in ns, 0 for none."""
+        self.out.append(["turn_away", self.relay, self.wire_ids[connection_id], retry_after // US])
         self._close(connection_id)
 
     def close_with_error(self, connection_id: int) -> None:
@@ -77,11 +77,11 @@
         """Sends a probe to a backend."""
         self.out.append(["poll", self.relay, self.backend_ids.names[backend_id]])
 
-    def wake(self, delay: int, token: int) -> None:
+    def set_timer(self, delay: int, token: int) -> None:
         """Sets a timer that returns the token after `delay` ns."""
         self.out.append(["timer", self.relay, delay // US, token])
 
-    def watch(self) -> None:
+    def request_list(self) -> None:
         """Requests the list of backends and its changes."""
         self.out.append(["subscribe", self.relay, True])
 
@@ -117,7 +117,7 @@
     def endpoints(self, now: int, form: str, _serial: Any = None, entries: Any = None) -> None:
         """Passes on the list of backends or its changes."""
         listed = [
-            Listed(
+            BackendEntry(
                 self.backend_ids[backend],
                 cell,
                 self.zones[zone],
@@ -125,7 +125,7 @@
                 float(weight or 0),
                 BACKEND_STATES[state],
                 (started or 0) * US,
-                mark_of(backend),
+                stable_hash(backend),
             )
             for cell, zone, state, host_type, weight, backend, started in (
                 (*entry, None) if len(entry) == 6 else entry for entry in entries or ()
@@ -147,7 +147,7 @@
     ) -> None:
         """Passes on a request; `timeout` is the client's, in microseconds."""
         hint = load_hint if flags and flags & 1 else None
-        self.balancer.tunnel_arrived(
+        self.balancer.connection_requested(
             now,
             self._add(wire_id),
             self._profile(profile),
@@ -175,7 +175,7 @@
         """Passes on a connection that was open before the relay started."""
         connection_id = self._add(wire_id)
         self.running_attempts[connection_id] = 1
-        self.balancer.adopted(
+        self.balancer.connection_adopted(
             now,
             connection_id,
             self._profile(profile),
@@ -190,7 +190,7 @@
         """Passes on that an attempt opened its connection, `duration` microseconds after it began."""
         connection_id = self.connection_ids.get(wire_id)
         if connection_id is not None:
-            self.balancer.opened(now, connection_id, duration * US)
+            self.balancer.connection_opened(now, connection_id, duration * US)
 
     def verdict(
         self,
@@ -212,7 +212,7 @@
         if ended:
             self.closed.add(connection_id)
         report = self.read_report(stats) if stats else None
-        self.balancer.setup_ended(
+        self.balancer.attempt_ended(
             now, connection_id, self.backend_ids[backend], bool(ended), outcome, duration * US, report
         )
         if connection_id in self.running_attempts:
@@ -226,9 +226,9 @@
         if connection_id is None:
             return
         if kind == 1:
-            self.balancer.load_told(now, connection_id, amount)
+            self.balancer.load_changed(now, connection_id, amount)
         elif kind == 2:
-            self.balancer.delay_told(now, self.backend_ids[backend], int(amount * 1_000_000))
+            self.balancer.message_delay_changed(now, self.backend_ids[backend], int(amount * 1_000_000))
 
     def expired(self, now: int, wire_id: int) -> None:
         """Passes on that a client is gone."""
@@ -242,11 +242,13 @@
     ) -> None:
         """Passes on the result of a probe."""
         report = self.read_report(stats) if stats else LoadReport()
-        self.balancer.probed(now, self.backend_ids[backend], OUTCOMES[outcome_word] is Outcome.DONE, report)
+        self.balancer.probe_ended(
+            now, self.backend_ids[backend], OUTCOMES[outcome_word] is Outcome.DONE, report
+        )
 
     def elapsed(self, now: int, token: int) -> None:
         """Passes on that a timer is due."""
-        self.balancer.woke(now, token)
+        self.balancer.timer_fired(now, token)
 
     def memo(self, now: int, by: int, payload: Any = None) -> None:
         """Ignores messages between relays, which the balancer does not use."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -25,15 +25,15 @@
     MS,
     NEVER_RAN,
     SECOND,
+    BackendEntry,
     BackendState,
     Dedup,
     DeploymentSettings,
     Effect,
-    Listed,
     ListForm,
     LoadReport,
     Outcome,
-    ProfileRow,
+    RequestClassSettings,
 )
 
 START = 1000 * SECOND
@@ -41,7 +41,7 @@
 
 def make_settings(window: int = 2 * SECOND, **other: object) -> DeploymentSettings:
     rows = tuple(
-        ProfileRow(effect, dedup, window, 300 * MS, 50 * MS, 1.0 + place)
+        RequestClassSettings(effect, dedup, window, 300 * MS, 50 * MS, 1.0 + place)
         for place, (effect, dedup) in enumerate(
             (
                 (Effect.REPEATABLE, Dedup.ALL),
@@ -53,26 +53,26 @@
         )
     )
     plain: dict = dict(
-        now=START,
+        start_time=START,
         seed=1,
-        me=0,
+        relay_index=0,
         relays=2,
         zone=0,
         profiles=rows,
-        ranked=False,
-        must_ask=True,
-        ask_every=10 * SECOND,
+        weighted=False,
+        requests_list=True,
+        list_request_interval=10 * SECOND,
         probes=True,
-        delays_told=True,
-        come_back_max=SECOND,
-        most_setups=4,
-        cold_from=0.2,
-        warm_within=10 * SECOND,
-        fall_multiple=3.0,
-        fall_span=2 * SECOND,
+        message_delays_known=True,
+        max_retry_after=SECOND,
+        max_attempts=4,
+        cold_capacity_share=0.2,
+        warmup_duration=10 * SECOND,
+        overload_multiple=3.0,
+        overload_duration=2 * SECOND,
         grouped=False,
-        quotas=(),
-        over_share_credit=1.0,
+        tenant_quotas=(),
+        over_quota_credit_factor=1.0,
     )
     return DeploymentSettings(**(plain | other))
 
@@ -83,9 +83,11 @@
     started: int = 0,
     cells: int = 2,
     weight: float = 1.0,
-) -> Listed:
+) -> BackendEntry:
     """Returns an entry of the list of backends."""
-    return Listed(backend_id, backend_id % cells, backend_id % 2, 0, weight, standing, started, backend_id)
+    return BackendEntry(
+        backend_id, backend_id % cells, backend_id % 2, 0, weight, standing, started, backend_id
+    )
 
 
 @dataclass
@@ -108,9 +110,9 @@
     def __init__(self, settings: DeploymentSettings, answers: bool = True) -> None:
         self.settings = settings
         self.answers = answers
-        self.now = settings.now
+        self.now = settings.start_time
         self.requests: dict[int, ClientRequest] = {}
-        self.listing: dict[int, Listed] = {}
+        self.listing: dict[int, BackendEntry] = {}
         self.sends: list[tuple[int, int, int]] = []  # time, connection, backend
         self.probes: list[tuple[int, int]] = []
         self.moves: list[int] = []
@@ -125,18 +127,18 @@
     def _may_have_run(self, request: ClientRequest) -> list[list]:
         return [setup for setup in request.setups if setup[2] not in NEVER_RAN]
 
-    def send(self, connection_id: int, backend_id: int, timeout: int) -> None:
+    def attempt(self, connection_id: int, backend_id: int, timeout: int) -> None:
         request, row = (
             self.requests[connection_id],
             self.settings.profiles[self.requests[connection_id].profile],
         )
         assert not request.answered, "an attempt after the final answer"
         assert all(setup[2] is not None for setup in request.setups), "two attempts at once"
-        assert len(request.setups) < self.settings.most_setups
+        assert len(request.setups) < self.settings.max_attempts
         assert 0 < timeout <= request.give_up - self.now, (
             "an attempt that may last longer than the client waits"
         )
-        assert self.listing[backend_id].standing is BackendState.READY, (
+        assert self.listing[backend_id].state is BackendState.READY, (
             "an attempt at a draining or removed backend"
         )
         ran = self._may_have_run(request)
@@ -153,13 +155,13 @@
         request.setups.append([backend_id, self.now, None, False])
         self.sends.append((self.now, connection_id, backend_id))
 
-    def decline(self, connection_id: int, come_back: int) -> None:
+    def reject(self, connection_id: int, retry_after: int) -> None:
         request, row = (
             self.requests[connection_id],
             self.settings.profiles[self.requests[connection_id].profile],
         )
         assert not request.answered, "two final answers"
-        assert 0 <= come_back <= self.settings.come_back_max
+        assert 0 <= retry_after <= self.settings.max_retry_after
         assert (
             not self._may_have_run(request)
             or row.effect is Effect.REPEATABLE
@@ -179,13 +181,13 @@
     def probe(self, backend_id: int) -> None:
         self.probes.append((self.now, backend_id))
 
-    def wake(self, delay: int, token: int) -> None:
+    def set_timer(self, delay: int, token: int) -> None:
         assert delay > 0
         self.wakes.append(
             (self.now + delay // 1000 * 1000, token)
         )  # this host's timers have a resolution of 1 us
 
-    def watch(self) -> None:
+    def request_list(self) -> None:
         self.watches.append(self.now)
 
     def log(self, text: str) -> None:
@@ -204,13 +206,13 @@
                 "a request with neither an answer nor an attempt"
             )
 
-    def tell(self, form: ListForm, *entries: Listed) -> None:
+    def tell(self, form: ListForm, *entries: BackendEntry) -> None:
         """Passes a list of backends to the balancer."""
         if form is not ListForm.UNAVAILABLE:
             if form is not ListForm.CHANGES:
                 for backend_id, old in self.listing.items():
-                    self.listing[backend_id] = old._replace(standing=BackendState.GONE)
-            self.listing |= {entry.ep: entry for entry in entries}
+                    self.listing[backend_id] = old._replace(state=BackendState.GONE)
+            self.listing |= {entry.backend_id: entry for entry in entries}
         self.balancer.list_changed(self.now, form, list(entries))
 
     def arrive(
@@ -224,11 +226,11 @@
     ) -> int:
         connection_id = len(self.requests)
         self.requests[connection_id] = ClientRequest(profile, self.now, self.now + budget)
-        self.balancer.tunnel_arrived(
+        self.balancer.connection_requested(
             self.now, connection_id, profile, tenant, key, group, budget, hint, False
         )
-        while self.answers and connection_id in self.balancer.state.waiting:
-            backend_id = self.balancer.state.waiting[connection_id].backend_id
+        while self.answers and connection_id in self.balancer.state.awaiting_probe:
+            backend_id = self.balancer.state.awaiting_probe[connection_id].backend_id
             self.report(backend_id, self.told.get(backend_id, 0.0))
         return connection_id
 
@@ -237,13 +239,13 @@
         self.requests[connection_id] = ClientRequest(
             0, self.now, self.now, True, [[backend_id, self.now, None, True]]
         )
-        self.balancer.adopted(self.now, connection_id, 0, None, None, group, backend_id, hint)
+        self.balancer.connection_adopted(self.now, connection_id, 0, None, None, group, backend_id, hint)
         return connection_id
 
     def open(self, connection_id: int) -> None:
         setup = self.requests[connection_id].setups[-1]
         setup[3] = self.requests[connection_id].answered = True
-        self.balancer.opened(self.now, connection_id, self.now - setup[1])
+        self.balancer.connection_opened(self.now, connection_id, self.now - setup[1])
 
     def end(self, connection_id: int, outcome: Outcome) -> None:
         request = self.requests[connection_id]
@@ -251,7 +253,7 @@
         setup[2] = outcome
         if outcome is Outcome.DONE:
             request.answered = True
-        self.balancer.setup_ended(
+        self.balancer.attempt_ended(
             self.now, connection_id, setup[0], request.answered, outcome, self.now - setup[1], None
         )
 
@@ -262,7 +264,7 @@
 
     def report(self, backend_id: int, asked: float) -> None:
         self.told[backend_id] = asked
-        self.balancer.probed(self.now, backend_id, True, LoadReport(asked=asked))
+        self.balancer.probe_ended(self.now, backend_id, True, LoadReport(offered_load=asked))
 
     def run(self, span: int) -> None:
         """Lets time pass, with the timers that fall due."""
@@ -271,7 +273,7 @@
             wake = min(due)
             self.wakes.remove(wake)
             self.now = wake[0]
-            self.balancer.woke(self.now, wake[1])
+            self.balancer.timer_fired(self.now, wake[1])
         self.now = end
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -792,11 +792,13 @@
     host.answers = False
     host.run(4 * SECOND)
     gone = host.arrive()
-    seen = host.balancer.state.waiting[gone]
+    seen = host.balancer.state.awaiting_probe[gone]
     host.balancer.client_gone(host.now, gone)
     host.requests[gone].answered = True
     host.run(SECOND)
-    assert not seen.busy_until and not host.balancer.state.waiting and not host.balancer.state.connections
+    assert (
+        not seen.busy_until and not host.balancer.state.awaiting_probe and not host.balancer.state.connections
+    )
 
 
 def test_what_was_never_sent_costs_a_cold_member_nothing_of_its_budget() -> None:
@@ -1169,7 +1171,7 @@
         return round(clock.seconds() * SECOND)
 
     timers = Timers(clock, now)
-    policy_host = SimpleNamespace(call=lambda *_: None, balancer=SimpleNamespace(stopping=None))
+    policy_host = SimpleNamespace(call=lambda *_: None, balancer=SimpleNamespace(drain_started=None))
     tunnels = SimpleNamespace(table=SimpleNamespace(used=1), close_all=lambda: swept.append(now()))
     service = ServiceState(timers, policy_host, None, tunnels, None, SimpleNamespace(out_of_service=False))
     service.leave_service()
--- a/tests/test_policy_overload.py
+++ b/tests/test_policy_overload.py
@@ -15,16 +15,16 @@
 from test_policy_laws import LEAST, sent_too_many
 
 from cedarledge.policy import utilization
-from cedarledge.policy.cells import digest_of, draw_of
+from cedarledge.policy.cells import hash64, unit_hash
 from cedarledge.policy.shedding import ORDER_SALT
-from cedarledge.policy.state import MOST_UNATTEMPTED, State
+from cedarledge.policy.state import MAX_UNATTEMPTED, State
 from cedarledge.terms import MS, ExternalView, ListForm, LoadReport, Outcome
 
 
 def fleet_load(state: State, now: int) -> float:
     """The mean as it is now, not as it was a moment ago."""
-    state.fleet_load_until = 0
-    return utilization.fleet(state, now)
+    state.fleet_load_expires_at = 0
+    return utilization.fleet_load(state, now)
 
 
 def test_a_connection_that_was_open_before_this_relay_is_no_change_since_a_report() -> None:
@@ -38,7 +38,7 @@
     for number in range(40):
         host.adopt(number % 4, hint=10.0)
     for backend_id in range(4):
-        host.balancer.probed(host.now, backend_id, True, LoadReport(asked=0.5))
+        host.balancer.probe_ended(host.now, backend_id, True, LoadReport(offered_load=0.5))
     assert fleet_load(host.balancer.state, host.now) == approx(0.5, abs=0.01)
 
 
@@ -48,11 +48,11 @@
     host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(4)))
     connections = [host.adopt(number % 4) for number in range(40)]
     for connection_id in connections[:36]:
-        host.balancer.load_told(host.now, connection_id, 10.0)
+        host.balancer.load_changed(host.now, connection_id, 10.0)
     for backend_id in range(4):
-        host.balancer.probed(host.now, backend_id, True, LoadReport(asked=0.5))
+        host.balancer.probe_ended(host.now, backend_id, True, LoadReport(offered_load=0.5))
     for connection_id in connections[36:]:
-        host.balancer.load_told(host.now, connection_id, 100.0)
+        host.balancer.load_changed(host.now, connection_id, 100.0)
     assert fleet_load(host.balancer.state, host.now) == approx(0.5, abs=0.01)
 
 
@@ -66,7 +66,7 @@
     for _ in range(8):
         for backend_id in range(8):
             asked = 0.9 if backend_id == 0 else 0.4
-            host.balancer.probed(host.now, backend_id, True, LoadReport(asked=asked))
+            host.balancer.probe_ended(host.now, backend_id, True, LoadReport(offered_load=asked))
     assert fleet_load(host.balancer.state, host.now) == approx((0.9 + 7 * 0.4) / 8, abs=0.02)
 
 
@@ -124,9 +124,9 @@
 def test_a_relay_that_has_seen_few_backends_probes_another_one_before_it_rejects() -> None:
     host = crowded_few(relays=230)
     connection_id = host.arrive(key="client")
-    (probed,) = host.balancer.state.waiting.values()
+    (probed,) = host.balancer.state.awaiting_probe.values()
     assert probed.reported < 0 and not host.declines
-    host.balancer.probed(host.now, probed.backend_id, True, LoadReport(asked=1.1))
+    host.balancer.probe_ended(host.now, probed.backend_id, True, LoadReport(offered_load=1.1))
     assert connection_id in rejected(host), "one look is enough: the client waits"
 
 
@@ -148,9 +148,9 @@
 def test_a_client_that_leaves_before_the_probe_is_answered_gets_nothing_more() -> None:
     host = crowded_few(relays=230)
     connection_id = host.arrive(key="client")
-    (probed,) = host.balancer.state.waiting.values()
+    (probed,) = host.balancer.state.awaiting_probe.values()
     host.balancer.client_gone(host.now, connection_id)
-    host.balancer.probed(host.now, probed.backend_id, True, LoadReport(asked=0.1))
+    host.balancer.probe_ended(host.now, probed.backend_id, True, LoadReport(offered_load=0.1))
     assert connection_id not in rejected(host) and not host.requests[connection_id].setups
 
 
@@ -166,7 +166,7 @@
 def overload(host: RuleCheckingHost) -> None:
     """Reports of every backend, which relays have from different moments."""
     for backend_id in range(8):
-        host.report(backend_id, 1.3 + 0.05 * ((backend_id + host.settings.me) % 8))
+        host.report(backend_id, 1.3 + 0.05 * ((backend_id + host.settings.relay_index) % 8))
     host.balancer.state.shed_fraction, host.balancer.state.shed_order = 1.0, [(0.0, 1.0)] * 5
 
 
@@ -192,7 +192,7 @@
     host = full_fleet()
     attempted = arrive_in_turn(host, 60, SECOND // 4, [f"group {number}" for number in range(60)])
     marks = [-1, *attempted, 60]
-    assert max(after - before - 1 for before, after in pairwise(marks)) <= MOST_UNATTEMPTED
+    assert max(after - before - 1 for before, after in pairwise(marks)) <= MAX_UNATTEMPTED
 
 
 def test_a_relay_that_gets_little_attempts_nothing_in_a_full_fleet() -> None:
@@ -202,7 +202,7 @@
 
 def test_a_burst_alone_brings_no_trial() -> None:
     host = full_fleet()
-    host.balancer.state.attempted_at = host.now
+    host.balancer.state.last_attempt_at = host.now
     assert not arrive_in_turn(host, 40, 0, ["group"])
 
 
@@ -221,7 +221,7 @@
 def test_all_relays_send_a_group_that_they_do_not_hold_to_the_same_backend_as_a_trial() -> None:
     chosen = set()
     for seed in range(6):
-        host = full_fleet(seed=seed, me=seed)
+        host = full_fleet(seed=seed, relay_index=seed)
         chosen |= backends_of(host, arrive_in_turn(host, 20, SECOND // 4, ["group"]))
     assert len(chosen) == 1
 
@@ -230,14 +230,14 @@
     """Else trials, which may be most of what a full fleet takes, serve what should be shed first."""
     groups = [f"group {number}" for number in range(4)]
     attempted = arrive_in_turn(full_fleet(), 60, SECOND // 4, groups)
-    last = max(groups, key=lambda group: draw_of(digest_of(group), ORDER_SALT))
+    last = max(groups, key=lambda group: unit_hash(hash64(group), ORDER_SALT))
     assert set(attempted.values()) == {last}
 
 
 def test_a_trial_does_not_go_to_a_backend_that_operators_have_set_aside() -> None:
     host = full_fleet()
     host.adopt(0, hint=1.0, group="group")
-    host.balancer.knows(host.now, ExternalView(aside=frozenset({0})))
+    host.balancer.external_view_changed(host.now, ExternalView(excluded=frozenset({0})))
     attempted = arrive_in_turn(host, 30, SECOND // 4, ["group"])
     assert attempted and 0 not in backends_of(host, attempted)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -44,15 +44,15 @@
             make_settings(
                 window=window,
                 seed=seed,
-                must_ask=ask,
-                ranked=ranked,
+                requests_list=ask,
+                weighted=ranked,
                 grouped=grouped,
-                most_setups=setups,
+                max_attempts=setups,
                 probes=probes,
                 relays=relays,
-                come_back_max=SECOND if ask else 0,
-                quotas=(4.0, 4.0),
-                over_share_credit=0.1,
+                max_retry_after=SECOND if ask else 0,
+                tenant_quotas=(4.0, 4.0),
+                over_quota_credit_factor=0.1,
             )
         )
         self.host.tell(
@@ -106,9 +106,9 @@
     @rule(data=st.data(), load=st.floats(0, 1e6), delay=st.integers(0, 500))
     def report_load_and_delay(self, data: st.DataObject, load: float, delay: int) -> None:
         connection_id = data.draw(st.sampled_from(self.attempted()))
-        self.host.balancer.load_told(self.host.now, connection_id, load)
+        self.host.balancer.load_changed(self.host.now, connection_id, load)
         backend_id = self.host.requests[connection_id].setups[-1][0]
-        self.host.balancer.delay_told(self.host.now, backend_id, delay * MS)
+        self.host.balancer.message_delay_changed(self.host.now, backend_id, delay * MS)
 
     @precondition(lambda self: self.attempted())
     @rule(data=st.data())
@@ -170,13 +170,14 @@
     load: float, relays: int, rush: int, age: int, seed: int
 ) -> None:
     hosts = [
-        host_with_backends(4, load, relays=relays, me=me, seed=seed * relays + me) for me in range(relays)
+        host_with_backends(4, load, relays=relays, relay_index=me, seed=seed * relays + me)
+        for me in range(relays)
     ]
     connections = 160  # of all relays, 40 for each backend, so a fully loaded one has 40 / load
     for connection_id in range(connections):
         hosts[connection_id % relays].adopt(connection_id // relays % 4)
     deployment = hosts[0].settings
-    started = deployment.now - age * SECOND
+    started = deployment.start_time - age * SECOND
     for host in hosts:
         host.run(SECOND)
         for backend_id in range(4):
@@ -185,7 +186,7 @@
         host.tell(ListForm.CHANGES, list_entry(9, started=started))
     for number in range(rush * 12):
         host = hosts[number * 7 % relays]
-        host.run(deployment.now + 2 * SECOND + number * SECOND // rush - host.now)
+        host.run(deployment.start_time + 2 * SECOND + number * SECOND // rush - host.now)
         connection_id = host.arrive(key=f"rush {number}")
         if not host.requests[connection_id].answered:
             host.open(connection_id)
@@ -195,13 +196,23 @@
         at
         for host in hosts
         for at, _, backend_id in host.sends
-        if backend_id == 9 and at < started + deployment.warm_within
+        if backend_id == 9 and at < started + deployment.warmup_duration
     )
     assert sends, "some of the slow-start budget must be used"
     for at in sends:
-        share = deployment.cold_from + (1 - deployment.cold_from) * (at - started) / deployment.warm_within
-        budget = deployment.fall_multiple * share * 40 / load * deployment.fall_span / deployment.warm_within
-        assert sum(at - deployment.fall_span < other <= at for other in sends) <= budget
+        share = (
+            deployment.cold_capacity_share
+            + (1 - deployment.cold_capacity_share) * (at - started) / deployment.warmup_duration
+        )
+        budget = (
+            deployment.overload_multiple
+            * share
+            * 40
+            / load
+            * deployment.overload_duration
+            / deployment.warmup_duration
+        )
+        assert sum(at - deployment.overload_duration < other <= at for other in sends) <= budget
 
 
 @given(
@@ -215,7 +226,7 @@
 def test_lists_of_any_size_and_changes_in_bulk_keep_the_rules(
     size: int, relays: int, me: int, cells: int, gone: int
 ) -> None:
-    host = host_with_backends(size, None, cells=cells, relays=relays, me=me)
+    host = host_with_backends(size, None, cells=cells, relays=relays, relay_index=me)
     for turn in range(4):
         for number in range(10):
             connection_id = host.arrive(key=f"{turn} {number}")
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -178,11 +178,11 @@
 
 def test_what_is_set_aside_gets_nothing_new_unless_it_would_be_all() -> None:
     host = host_with_backends(4, cells=1)
-    host.balancer.knows(host.now, ExternalView(aside=frozenset({0, 1, 2})))
+    host.balancer.external_view_changed(host.now, ExternalView(excluded=frozenset({0, 1, 2})))
     for number in range(6):
         host.arrive(key=f"k{number}")
     assert {backend_id for _, _, backend_id in host.sends} == {3}
-    host.balancer.knows(host.now, ExternalView(aside=frozenset(range(4))))
+    host.balancer.external_view_changed(host.now, ExternalView(excluded=frozenset(range(4))))
     for number in range(30):
         host.arrive(key=f"n{number}")
     assert len({backend_id for _, _, backend_id in host.sends}) > 1
--- a/tests/test_tunnels.py
+++ b/tests/test_tunnels.py
@@ -140,11 +140,11 @@
         self.out: dict[int, SetupStub] = {}
         self.clients: list[Client] = []
         self.full = False
-        self.policy_host.start(make_settings(now=self.now()), Broken if broken else Balancer)
+        self.policy_host.start(make_settings(start_time=self.now()), Broken if broken else Balancer)
         entries = [list_entry(backend_id, cells=2) for backend_id in range(BOXES)]
         for entry in entries:
-            self.boxes.addresses[self.boxes.backend_ids[f"s-{entry.ep}"]] = ("127.0.0.1", 1)
-        self.listing = {entry.ep: entry for entry in entries}
+            self.boxes.addresses[self.boxes.backend_ids[f"s-{entry.backend_id}"]] = ("127.0.0.1", 1)
+        self.listing = {entry.backend_id: entry for entry in entries}
         self.boxes.changed(ListForm.RESTORED, entries)
 
     def now(self) -> int:
@@ -220,12 +220,12 @@
 
     def lists(self, pick: int, standing: BackendState) -> None:
         backend_id = pick % BOXES
-        self.listing[backend_id] = self.listing[backend_id]._replace(standing=standing)
+        self.listing[backend_id] = self.listing[backend_id]._replace(state=standing)
         self.boxes.changed(ListForm.CHANGES, [self.listing[backend_id]])
 
     def reports(self, pick: int, asked: float) -> None:
         self.policy_host.call(
-            self.policy_host.balancer.probed, pick % BOXES, asked < 5, LoadReport(asked=asked)
+            self.policy_host.balancer.probe_ended, pick % BOXES, asked < 5, LoadReport(offered_load=asked)
         )
 
 
@@ -304,7 +304,7 @@
     assert not scene.invariants.counts
     if not broken:
         state = scene.policy_host.balancer.state
-        assert not (state.connections or state.waiting or state.in_flight), (
+        assert not (state.connections or state.awaiting_probe or state.in_flight), (
             "nothing is counted that is not there"
         )
         assert not any(
