--- a/tests/broken_relay.py
+++ b/tests/broken_relay.py
@@ -1,4 +1,4 @@
-"""Relays that break one rule each, for the judge to find out: python broken_relay.py RULE."""
+"""Relays that break one rule each, which the judge must detect: python broken_relay.py RULE."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from twisted.internet.protocol import Protocol, ServerFactory
 
 RULE = sys.argv[1]
-TOLD = json.loads(Path(os.environ["BALANCER_CONFIG"]).read_bytes())
-BOXES = [entry["host_port"].rpartition(":")[::2] for entry in TOLD["known"]["members"]]
-CHANCE = random.Random(int(TOLD["seed"], 16))
-SOMETIMES = 0.1
+CONFIG = json.loads(Path(os.environ["BALANCER_CONFIG"]).read_bytes())
+BACKENDS = [entry["host_port"].rpartition(":")[::2] for entry in CONFIG["known"]["members"]]
+RANDOM = random.Random(int(CONFIG["seed"], 16))
+BREAK_SHARE = 0.1
 
 
-class Box(Protocol):
+class BackendConnection(Protocol):
     def __init__(self, client: Client) -> None:
         self.client = client
 
     def connectionMade(self) -> None:  # noqa: N802
-        self.client.boxes.append(self)
+        self.client.backends.append(self)
         self.transport.write(self.client.line)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self is self.client.boxes[0]:
-            self.client.from_box(data)
+        if self is self.client.backends[0]:
+            self.client.from_backend(data)
 
     def connectionLost(self, _reason: Any) -> None:  # noqa: N802
         self.client.transport.loseConnection()
@@ -40,32 +40,32 @@
     line = b""
 
     def connectionMade(self) -> None:  # noqa: N802
-        self.boxes: list[Box] = []
-        self.bad = CHANCE.random() < SOMETIMES
+        self.backends: list[BackendConnection] = []
+        self.breaks_rule = RANDOM.random() < BREAK_SHARE
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         if data == b"PING\r\n":
             self.transport.write(b"PONG\r\n")
-        elif self.boxes:
-            self.to_box(data)
+        elif self.backends:
+            self.to_backend(data)
         elif not self.line:
             self.line = data
-            self.opens()
+            self.attempt()
 
-    def opens(self) -> None:
-        if RULE == "unanswered" and self.bad:
+    def attempt(self) -> None:
+        if RULE == "unanswered" and self.breaks_rule:
             return
-        if RULE == "not_what_a_box_made" and self.bad:
+        if RULE == "not_what_a_box_made" and self.breaks_rule:
             self.transport.write(b"UP of-my-own\r\n")
             return
-        for _ in range(2 if RULE == "overlapping_setups" and self.bad else 1):
-            host, port = CHANCE.choice(BOXES)
-            connectProtocol(TCP4ClientEndpoint(reactor, host, int(port)), Box(self)).addErrback(
+        for _ in range(2 if RULE == "overlapping_setups" and self.breaks_rule else 1):
+            host, port = RANDOM.choice(BACKENDS)
+            connectProtocol(TCP4ClientEndpoint(reactor, host, int(port)), BackendConnection(self)).addErrback(
                 lambda _why: self.transport.loseConnection()
             )
 
-    def from_box(self, data: bytes) -> None:
-        if not self.bad or data.startswith(b"PONG"):
+    def from_backend(self, data: bytes) -> None:
+        if not self.breaks_rule or data.startswith(b"PONG"):
             self.transport.write(data)
         elif RULE == "answered_twice" and data.startswith(b"UP"):
             self.transport.write(data + b"ERR\r\n")
@@ -76,17 +76,17 @@
             if RULE == "cut_without_move" and data.startswith(b"e"):
                 self.transport.abortConnection()
 
-    def to_box(self, data: bytes) -> None:
-        self.boxes[0].transport.write(data)
+    def to_backend(self, data: bytes) -> None:
+        self.backends[0].transport.write(data)
 
     def connectionLost(self, _reason: Any) -> None:  # noqa: N802
-        for box in self.boxes:
-            box.transport.loseConnection()
+        for backend in self.backends:
+            backend.transport.loseConnection()
 
 
 factory = ServerFactory()
 factory.protocol = Client
-host, _, port = TOLD["listen"].rpartition(":")
+host, _, port = CONFIG["listen"].rpartition(":")
 reactor.listenTCP(int(port), factory, interface=host)
 if RULE == "crashed":
     reactor.callLater(5, os._exit, 3)
--- a/tests/stopping_relay.py
+++ b/tests/stopping_relay.py
@@ -1,5 +1,7 @@
-"""A relay that stops itself, as by SIGSTOP, right before or after the first call of a method, or the one with
-that number: python stopping_relay.py MODULE CLASS METHOD before|after [NUMBER]."""
+"""A relay that pauses itself by SIGSTOP right before or after a call of a method.
+
+Usage: python stopping_relay.py MODULE CLASS METHOD before|after [NUMBER]; NUMBER is that of the call, by default 1.
+"""
 
 from __future__ import annotations
 
@@ -11,23 +13,23 @@
 
 from cedarledge.__main__ import start
 
-module, owner, method, when, *rest = sys.argv[1:]
-left = int(rest[0]) if rest else 1
-place = getattr(import_module(module), owner)
-plain = getattr(place, method)
+module, class_name, method, moment, *rest = sys.argv[1:]
+calls_left = int(rest[0]) if rest else 1
+patched_class = getattr(import_module(module), class_name)
+original = getattr(patched_class, method)
 
 
-@wraps(plain)
-def stopping(*args: object, **names: object) -> object:
-    global left
-    left -= 1
-    if not left and when == "before":
+@wraps(original)
+def stopping(*args: object, **keywords: object) -> object:
+    global calls_left
+    calls_left -= 1
+    if not calls_left and moment == "before":
         os.kill(os.getpid(), signal.SIGSTOP)
-    given = plain(*args, **names)
-    if not left and when == "after":
+    result = original(*args, **keywords)
+    if not calls_left and moment == "after":
         os.kill(os.getpid(), signal.SIGSTOP)
-    return given
+    return result
 
 
-setattr(place, method, stopping)
+setattr(patched_class, method, stopping)
 sys.exit(start())
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -1,4 +1,4 @@
-"""Settings of other customers: what may be left out, be null, be zero or lie at its ends, and what not."""
+"""Settings of other customers: which ones may be absent, null, zero or extreme, and which may not."""
 
 from __future__ import annotations
 
@@ -16,61 +16,67 @@
 from pytest import MonkeyPatch, mark, raises
 from twisted.internet.testing import MemoryReactorClock
 
-from cedarledge.net import relay as relays
+from cedarledge.net import relay as relay_module
 from cedarledge.net.clients import parse_open_request
 from cedarledge.net.config import RelayConfig
 from cedarledge.settings import REQUIRED_CLASS_SETTINGS, REQUIRED_SETTINGS, check_settings
 from cedarledge.terms import LoadReport
 
-# With all that the pages name and the program reads.
-WHOLE: dict[str, Any] = copy.deepcopy(SETTINGS) | {
+# Every setting that is documented and that the program reads.
+ALL_SETTINGS: dict[str, Any] = copy.deepcopy(SETTINGS) | {
     "me": 0,
     "overage_credit": 0.1,
     "prices": {"cross_zone": 0.01},
     "client_habits": {"marks_retry": True},
     "tenants": [{"name": "one", "quota_per_s": 3}, {"name": "two", "quota_per_s": 0}],
 }
-WHOLE["allowed"] |= {"max_retry_after": 2_000_000, "retry_after": True, "second_copies": False}
-WHOLE["domain"] |= {"tenant_quota_connections": [10.0, 0.0], "tells_load": True, "mode": "proxy"}
-WHOLE["profiles"].append(WHOLE["profiles"][0] | {"name": "7", "semantics": "token", "group": "cell"})
-# What the members of the fleet say of themselves in turn.
+ALL_SETTINGS["allowed"] |= {"max_retry_after": 2_000_000, "retry_after": True, "second_copies": False}
+ALL_SETTINGS["domain"] |= {"tenant_quota_connections": [10.0, 0.0], "tells_load": True, "mode": "proxy"}
+ALL_SETTINGS["profiles"].append(
+    ALL_SETTINGS["profiles"][0] | {"name": "7", "semantics": "token", "group": "cell"}
+)
+# The loads that the backends report.
 LOADS = (0.2, 0.5, 0.9, 1.4)
 ROUNDS = 30
 
 
-def places(node: Any, at: tuple = ()) -> Iterator[tuple]:
+def paths_in(node: Any, at: tuple = ()) -> Iterator[tuple]:
     for name, value in node.items() if isinstance(node, dict) else enumerate(node):
         yield (*at, name)
         if isinstance(value, dict | list):
-            yield from places(value, (*at, name))
+            yield from paths_in(value, (*at, name))
 
 
-def changed(told: dict[str, Any], place: tuple, value: Any) -> None:
-    node: Any = told
-    for name in place[:-1]:
+def change(relay_settings: dict[str, Any], path: tuple, value: Any) -> None:
+    node: Any = relay_settings
+    for name in path[:-1]:
         try:
             node = node[name]
         except (KeyError, IndexError):
-            return  # gone with another change
+            return  # removed by another change
         if not isinstance(node, dict | list):
             return
     if value == "gone" and isinstance(node, dict):
-        node.pop(place[-1], None)
-    elif isinstance(node, dict) or place[-1] < len(node):
-        node[place[-1]] = value
+        node.pop(path[-1], None)
+    elif isinstance(node, dict) or path[-1] < len(node):
+        node[path[-1]] = value
 
 
-class Client(test_tunnels.Client):
-    """One that is no bad client."""
+class Client(test_tunnels.RecordingClient):
+    """A client whose input is always valid."""
 
     def bad_input(self, why: str) -> None:
         raise AssertionError(why)
 
 
-def assembled(told: dict[str, Any], monkeypatch: MonkeyPatch) -> tuple[relays.Relay, MemoryReactorClock]:
-    """A relay on a clock of its own, with a cold member among warm ones."""
+def make_relay(
+    relay_settings: dict[str, Any], monkeypatch: MonkeyPatch
+) -> tuple[relay_module.Relay, MemoryReactorClock]:
+    """Returns a relay with a fake clock, and a cold backend among warm ones."""
     reactor = MemoryReactorClock()
-    monkeypatch.setattr(relays, "steady_clock", lambda: lambda: round((reactor.seconds() + 1e9) * SECOND))
+    monkeypatch.setattr(
+        relay_module, "steady_clock", lambda: lambda: round((reactor.seconds() + 1e9) * SECOND)
+    )
     members = [
         {
             "id": f"s-{backend_id}",
@@ -81,7 +87,7 @@
         }
         for backend_id in range(len(LOADS))
     ]
-    return relays.Relay(
+    return relay_module.Relay(
         reactor,
         RelayConfig(
             "n",
@@ -92,24 +98,24 @@
             1,
             512,
             {"revision": 1, "members": members},
-            told,
+            relay_settings,
         ),
     ), reactor
 
 
-def play(told: dict[str, Any], monkeypatch: MonkeyPatch) -> None:
-    faults: list[str] = []
+def run_relay(relay_settings: dict[str, Any], monkeypatch: MonkeyPatch) -> None:
+    errors: list[str] = []
     logger.remove()
-    heard = logger.add(lambda message: faults.append(str(message)), level="ERROR")
+    sink = logger.add(lambda message: errors.append(str(message)), level="ERROR")
     try:
-        relay, reactor = assembled(told, monkeypatch)
+        relay, reactor = make_relay(relay_settings, monkeypatch)
         rows = [
             (row["name"], max(1, min(900, int(row["client_timeout"] or 900_000) // 1000)))
-            for row in told["profiles"]
+            for row in relay_settings["profiles"]
         ]
         clients = []
         for number in range(ROUNDS):
-            # In steps shorter than the grace of an answer: with longer ones each would come late.
+            # In steps shorter than the grace time of answers, as each would be late with longer ones.
             reactor.pump([0.05] * 5)
             for backend_id, load in enumerate(LOADS):
                 relay.probe_ended(backend_id, True, LoadReport(offered_load=load))
@@ -122,56 +128,59 @@
         relay.stop()
         reactor.pump([0.05] * 120)
     finally:
-        logger.remove(heard)
-    assert not faults
-    assert {len(client.said) for client in clients} == {1}, "nobody takes them, and each hears so once"
+        logger.remove(sink)
+    assert not errors
+    assert {len(client.answers) for client in clients} == {1}, (
+        "no backend accepts, and each client gets one answer"
+    )
     assert relay.tunnels.table.used == 0
 
 
 values = st.sampled_from(["gone", None, 0, 1, 1e-9, 0.5, 10**12])
-changes = st.lists(st.tuples(st.sampled_from(sorted(places(WHOLE), key=str)), values), max_size=4)
+changes = st.lists(st.tuples(st.sampled_from(sorted(paths_in(ALL_SETTINGS), key=str)), values), max_size=4)
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
-@given(made=changes)
-def test_settings_are_served_or_refused_by_their_place(made: list[tuple]) -> None:
-    told = copy.deepcopy(WHOLE)
-    for place, value in made:
-        changed(told, place, value)
+@given(changes_drawn=changes)
+def test_settings_are_served_or_refused_by_their_place(changes_drawn: list[tuple]) -> None:
+    relay_settings = copy.deepcopy(ALL_SETTINGS)
+    for path, value in changes_drawn:
+        change(relay_settings, path, value)
     try:
-        check_settings(told)
+        check_settings(relay_settings)
     except ValueError as why:
         assert str(why).startswith("settings.") and "\n" not in str(why)
         return
     with MonkeyPatch.context() as patch:
-        play(told, patch)
+        run_relay(relay_settings, patch)
 
 
 def test_only_what_no_relay_can_do_without_is_refused_where_it_is_missing(monkeypatch: MonkeyPatch) -> None:
-    """Backends that need no time to warm, a goal or limit of zero and null loads ended starts or tunnels."""
-    needed = {("allowed",), ("safety",), *(tuple(place.split(".")) for place in REQUIRED_SETTINGS)}
-    for place in places(WHOLE):
-        told = copy.deepcopy(WHOLE)
-        changed(told, place, None)
-        in_row = place[0] in ("profiles", "tenants") and (
-            len(place) == 2 or place[-1] in (*REQUIRED_CLASS_SETTINGS, "name")
+    """Guards against settings that ended the relay's start or its connections: no warm-up time, a latency
+    goal or limit of zero, and null loads."""
+    required = {("allowed",), ("safety",), *(tuple(path.split(".")) for path in REQUIRED_SETTINGS)}
+    for path in paths_in(ALL_SETTINGS):
+        relay_settings = copy.deepcopy(ALL_SETTINGS)
+        change(relay_settings, path, None)
+        in_row = path[0] in ("profiles", "tenants") and (
+            len(path) == 2 or path[-1] in (*REQUIRED_CLASS_SETTINGS, "name")
         )
-        if place in needed or in_row or place in (("profiles",), ("dcs", 0)):
+        if path in required or in_row or path in (("profiles",), ("dcs", 0)):
             with raises(ValueError, match=r"settings\."):
-                check_settings(told)
+                check_settings(relay_settings)
             continue
-        check_settings(told)
-        play(told, monkeypatch)
-    for place in (
+        check_settings(relay_settings)
+        run_relay(relay_settings, monkeypatch)
+    for path in (
         *REQUIRED_SETTINGS,
         "profiles.0.setup_goal",
         "profiles.0.client_timeout",
         "profiles.0.credit",
     ):
-        told = copy.deepcopy(WHOLE)
-        changed(told, tuple(int(name) if name.isdigit() else name for name in place.split(".")), 0)
-        check_settings(told)
-        play(told, monkeypatch)
+        relay_settings = copy.deepcopy(ALL_SETTINGS)
+        change(relay_settings, tuple(int(name) if name.isdigit() else name for name in path.split(".")), 0)
+        check_settings(relay_settings)
+        run_relay(relay_settings, monkeypatch)
 
 
 @mark.parametrize("held", [0, 1])
@@ -179,10 +188,15 @@
 def test_a_relay_ends_before_it_is_killed_however_short_its_deadlines(
     deadline: int, held: int, monkeypatch: MonkeyPatch
 ) -> None:
-    """It waited a second for newcomers where it is killed after 0.8 s, and a second more for whoever had had
-    the last word and did not end its side. Newcomers come for 0.4 s."""
-    told = WHOLE | {"profiles": [row | {"client_timeout": deadline * 1000} for row in WHOLE["profiles"]]}
-    relay, reactor = assembled(told, monkeypatch)
+    """Guards against a relay that is killed before it ends.
+
+    It waited a second for new connections although it is killed after 0.8 s, and another second for peers
+    that kept their answered connections open. New connections arrive for 0.4 s.
+    """
+    relay_settings = ALL_SETTINGS | {
+        "profiles": [row | {"client_timeout": deadline * 1000} for row in ALL_SETTINGS["profiles"]]
+    }
+    relay, reactor = make_relay(relay_settings, monkeypatch)
     for _ in range(held):
         relay.context.links.allocate(SimpleNamespace())
     relay.stop()
@@ -191,7 +205,7 @@
     while not reactor.hasStopped and spent < killed:
         reactor.advance(0.01)
         spent += 0.01
-    assert 0.4 <= spent < killed - 0.09, "the process has its own end before it"
+    assert 0.4 <= spent < killed - 0.09, "the process must end by itself before it is killed"
 
 
 @mark.parametrize(
@@ -224,16 +238,21 @@
         },
         {"safety": {"cold_from": 0, "warm_within": 0, "fall_multiple": 0, "overload_for": 0, "ask_every": 1}},
     ],
-    ids=["no probes, one setup, no limit", "pushed, little told", "numbers for names, no times", "no safety"],
+    ids=[
+        "no probes, one setup, no limit",
+        "pushed, few settings",
+        "numbers for names, no times",
+        "no safety",
+    ],
 )
 def test_a_started_relay_serves_another_customer(other: dict, tmp_path: Path) -> None:
-    told = SETTINGS | other
-    name = told["profiles"][0]["name"]
+    relay_settings = SETTINGS | other
+    name = relay_settings["profiles"][0]["name"]
     backends = [Backend("a"), Backend("b")]
-    with RelayProgram(tmp_path, backends, settings=told) as relay:
+    with RelayProgram(tmp_path, backends, settings=relay_settings) as relay:
         clients = [relay.client() for _ in range(6)]
         names = f"c={name},d=1500,g=g"
         assert {client.open(str(number), names) for number, client in enumerate(clients)} == {"UP r"}
         assert clients[0].say("M 1") == "M 1"
-        assert len(relay.discovery.calls) < 20, "and discovery is not run down"
+        assert len(relay.discovery.calls) < 20, "discovery must not be overloaded by calls"
         assert "failed" not in relay.log.read_text()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The guard and the audit: what breaks a rule is refused, counted and told with its request."""
+"""The request guard and the audit: violations are refused, counted and logged with their request."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from cedarledge.net.timers import Timers
 from cedarledge.terms import Outcome
 
-# Places of the classes that `helpers.make_settings` has.
+# Indices of the request classes of `helpers.make_settings`.
 IDEMPOTENT, DEDUP_ALL, DEDUP_ZONE, DEDUP_CELL, NON_IDEMPOTENT = range(5)
 NAMES = ["a", "b", "c"]
-# b shares the zone of a and not its cell; c shares nothing with it.
+# b is in the zone of a but in another cell; c shares neither.
 LISTED = {
     0: {"locality": "z", "cell": 1},
     1: {"locality": "z", "cell": 2},
@@ -28,7 +28,7 @@
 
 
 class Scene:
-    """A guard on a clock that the test sets."""
+    """A request guard with a fake clock."""
 
     def __init__(self) -> None:
         self.now = 1000 * SECOND
@@ -38,7 +38,9 @@
     def request(self, request_class: int = IDEMPOTENT) -> RequestRecord:
         return RequestRecord("id", request_class, self.now + 3 * SECOND)
 
-    def attempted(self, request: RequestRecord, outcome: Outcome | None, backend: int = 0) -> RequestRecord:
+    def record_attempt(
+        self, request: RequestRecord, outcome: Outcome | None, backend: int = 0
+    ) -> RequestRecord:
         assert self.guard.may_attempt(request, backend, is_ready=True)
         self.guard.record_attempt(request, backend)
         if outcome is not None:
@@ -46,7 +48,7 @@
         return request
 
     @property
-    def seen(self) -> dict[Invariant, int]:
+    def violations(self) -> dict[Invariant, int]:
         return dict(self.invariants.counts)
 
 
@@ -55,36 +57,36 @@
     yield Scene()
 
 
-def test_an_attempt_waits_for_the_one_before(scene: Scene) -> None:
-    request = scene.attempted(scene.request(), None)
+def test_an_attempt_waits_for_the_previous_one(scene: Scene) -> None:
+    request = scene.record_attempt(scene.request(), None)
     assert not scene.guard.may_attempt(request, 1, is_ready=True)
-    assert scene.seen == {Invariant.TWO_ATTEMPTS: 1}
+    assert scene.violations == {Invariant.TWO_ATTEMPTS: 1}
 
 
 @mark.parametrize("word", ["UP", "BUSY", "ERR"])
-def test_nothing_goes_out_after_the_answer(scene: Scene, word: str) -> None:
+def test_no_attempt_and_no_answer_after_the_answer(scene: Scene, word: str) -> None:
     request = scene.request()
     scene.guard.record_answer(request, word)
     assert not scene.guard.may_attempt(request, 1, is_ready=True)
     scene.guard.record_answer(request, "ERR")
-    assert scene.seen == {Invariant.ATTEMPT_AFTER_ANSWER: 1, Invariant.SECOND_ANSWER: 1}
+    assert scene.violations == {Invariant.ATTEMPT_AFTER_ANSWER: 1, Invariant.SECOND_ANSWER: 1}
 
 
-def test_nothing_new_goes_to_a_draining_backend(scene: Scene) -> None:
+def test_no_attempt_at_a_draining_backend(scene: Scene) -> None:
     assert not scene.guard.may_attempt(scene.request(), 1, is_ready=False)
-    assert scene.seen == {Invariant.ATTEMPT_AT_DRAINING: 1}
+    assert scene.violations == {Invariant.ATTEMPT_AT_DRAINING: 1}
 
 
-def test_time_limits_have_the_platforms_grace_and_no_more(scene: Scene) -> None:
+def test_time_limits_have_the_platforms_grace_time_and_no_more(scene: Scene) -> None:
     request = scene.request()
     scene.now = request.deadline + TIME_LIMIT_GRACE
     scene.guard.record_answer(request, "ERR")
-    assert not scene.seen
+    assert not scene.violations
     late = scene.request()
     scene.now = late.deadline + TIME_LIMIT_GRACE + MS
     assert not scene.guard.may_attempt(late, 1, is_ready=True)
     scene.guard.record_answer(late, "ERR")
-    assert scene.seen == {Invariant.ATTEMPT_PAST_DEADLINE: 1, Invariant.LATE_ANSWER: 1}
+    assert scene.violations == {Invariant.ATTEMPT_PAST_DEADLINE: 1, Invariant.LATE_ANSWER: 1}
 
 
 @mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR, Outcome.CANCELLED])
@@ -98,10 +100,10 @@
         (NON_IDEMPOTENT, set(), False),
     ],
 )
-def test_what_may_have_run_goes_only_where_its_effect_allows(
+def test_a_request_that_may_have_run_is_repeated_only_where_its_effect_allows(
     scene: Scene, outcome: Outcome, request_class: int, may_go_to: set[int], may_reject: bool
 ) -> None:
-    request = scene.attempted(scene.request(request_class), outcome)
+    request = scene.record_attempt(scene.request(request_class), outcome)
     allowed = {backend for backend in LISTED if scene.guard.may_attempt(request, backend, is_ready=True)}
     assert allowed == may_go_to
     assert scene.guard.may_reject(request) == may_reject
@@ -112,15 +114,15 @@
 
 
 @mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
-def test_what_never_ran_goes_anywhere(scene: Scene, outcome: Outcome) -> None:
+def test_a_request_that_never_ran_may_be_repeated_anywhere(scene: Scene, outcome: Outcome) -> None:
     request = scene.request(NON_IDEMPOTENT)
     for backend in LISTED:
-        scene.attempted(request, outcome, backend)
-    assert scene.guard.may_reject(request) and not scene.seen
+        scene.record_attempt(request, outcome, backend)
+    assert scene.guard.may_reject(request) and not scene.violations
 
 
-def test_deadlines_that_the_reactor_forgets_are_called_and_counted() -> None:
-    """As a step back of the wall clock left them: asked for, and never called."""
+def test_timers_that_the_reactor_loses_are_called_and_counted() -> None:
+    """Guards against timers that the reactor never calls, as after a step back of the wall clock."""
     reactor, called, stuck = Clock(), [], []
     timers = Timers(reactor, lambda: round(reactor.seconds() * SECOND))
     timers.stuck = stuck.append
@@ -137,7 +139,7 @@
     assert called == ["first", "second", "third"]
 
 
-def test_a_relay_that_was_paused_counts_no_stuck_deadlines(tmp_path: Path) -> None:
+def test_a_relay_that_was_paused_counts_no_stuck_timers(tmp_path: Path) -> None:
     with RelayProgram(tmp_path, [Backend("a")]) as relay:
         client = relay.client()
         assert client.open() == "UP r"
@@ -151,8 +153,8 @@
         assert "no invariant broken" in relay.log.read_text()
 
 
-def test_the_log_says_what_became_of_each_request(tmp_path: Path) -> None:
-    """Ids, attempts and how they ended, why it was closed; and the counts at the end."""
+def test_the_log_describes_the_fate_of_each_request(tmp_path: Path) -> None:
+    """The log has each request's id, attempts, outcomes and reason for closing, and the counts at the end."""
     backends = [Backend("a", "ERR")]
     with RelayProgram(tmp_path, backends) as relay:
         failed, silent = relay.client(), relay.client()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The program on sockets, started and spoken to as its users do."""
+"""The relay program, started and used over its sockets as clients, backends and discovery use it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from pytest import mark
 
 
-def test_a_tunnel_from_its_first_line_to_its_end(tmp_path: Path) -> None:
+def test_a_connection_from_its_first_line_to_its_end(tmp_path: Path) -> None:
     backend = Backend("a")
     with RelayProgram(tmp_path, [backend]) as relay:
         client = relay.client()
@@ -28,33 +28,34 @@
         assert [client.read_line() for _ in range(3)] == ["LOAD 12.5", "BYE", ""]
 
 
-def test_a_backend_that_says_busy_or_resets_leaves_the_tunnel_to_another(tmp_path: Path) -> None:
+def test_a_request_that_a_backend_rejects_or_resets_is_attempted_at_another(tmp_path: Path) -> None:
     for mode in ("BUSY", "reset", "hang", "ERR"):
         first, second = Backend("a", mode, "UP r"), Backend("b", mode, "UP r")
-        first.modes = second.modes  # whichever comes second takes it
+        first.modes = second.modes  # the one attempted second accepts
         with RelayProgram(tmp_path, [first, second]) as relay:
             assert relay.client().open() == "UP r"
             assert len(first.heads) == len(second.heads) == 1
-            assert mode != "hang" or "reset" in first.ends + second.ends, "given up by ending it"
+            assert mode != "hang" or "reset" in first.ends + second.ends, "an abandoned attempt must be reset"
 
 
-def test_once_only_is_not_set_up_again_where_it_may_have_run(tmp_path: Path) -> None:
+def test_a_non_idempotent_request_is_not_attempted_again_if_it_may_have_run(tmp_path: Path) -> None:
     backends = [Backend("a", "ERR"), Backend("b", "ERR")]
     with RelayProgram(tmp_path, backends) as relay:
         assert relay.client().open(names="c=bill,d=1500") == "ERR"
         assert sum(len(backend.heads) for backend in backends) == 1
 
 
-def test_a_tunnel_nobody_takes_is_answered_before_the_client_gives_up(tmp_path: Path) -> None:
+def test_a_request_that_no_backend_accepts_is_answered_before_the_client_gives_up(tmp_path: Path) -> None:
     backends = [Backend(name, "hang") for name in "ab"]
     with RelayProgram(tmp_path, backends) as relay:
-        took = []
+        durations = []
         for _ in range(3):
             client, start = relay.client(), time.monotonic()
             assert client.open(names="c=feed,d=700") == "ERR" or client.read_line() == ""
-            took.append(time.monotonic() - start)
-        # It comes 3 ms before, as the last setup ends: one late turn of this machine's must not hide that.
-        assert min(took) < 0.7
+            durations.append(time.monotonic() - start)
+        # The answer comes 3 ms before the timeout, when the last attempt ends. The minimum of several runs is
+        # checked, as one late reactor iteration of this machine must not hide that.
+        assert min(durations) < 0.7
 
 
 def test_a_connection_that_was_open_before_goes_to_its_backend_and_no_other(tmp_path: Path) -> None:
@@ -66,13 +67,14 @@
         assert client.open("k", "c=feed,d=4294967,at=b") == "UP r"
         assert not backends[0].heads
         assert backends[1].heads == [f"OPEN {client.id} k c=feed,d=4294967,at=b"] * 2
-        # Once others come all such are up, so what asks now is a stranger, and is tried once.
+        # Once new requests arrive, all connections that were open before are open again. A later request of
+        # this kind is not genuine, and is attempted once.
         assert relay.client().open() == "UP r"
         backends[1].modes, start = ["BUSY"], time.monotonic()
         assert relay.client().open("k", "c=feed,d=4294967,at=b") == "ERR" and time.monotonic() - start < 1
 
 
-def test_either_end_of_an_open_tunnel_ends_the_other_in_the_same_way(tmp_path: Path) -> None:
+def test_either_end_of_an_open_connection_ends_the_other_in_the_same_way(tmp_path: Path) -> None:
     backend = Backend("a")
     with RelayProgram(tmp_path, [backend]) as relay:
         clients = [relay.client() for _ in range(4)]
@@ -80,7 +82,7 @@
         start = time.monotonic()
         backend.opened[0].shutdown(1)
         assert [clients[0].read_line(), clients[1].say("RESET")] == ["", "reset"]
-        # Those two's ends come a little later on the other side.
+        # The backend sees the ends of these two a little later.
         wait_until(lambda: len(backend.ends) == 2)
         backend.ends.clear()
         clients[2].close()
@@ -128,7 +130,7 @@
         assert len(moved) == held and time.monotonic() - start > 0.5
 
 
-def test_the_watch_goes_on_from_what_is_known_and_survives_a_broken_service(tmp_path: Path) -> None:
+def test_the_watch_resumes_from_the_known_revision_and_survives_a_broken_service(tmp_path: Path) -> None:
     backend, late = Backend("a"), Backend("b")
     broken = (
         b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
@@ -155,9 +157,12 @@
         assert relay.client().open() == "UP r" and late.heads and not backend.heads
 
 
-def test_an_answer_that_came_while_the_relay_was_paused_counts(tmp_path: Path) -> None:
-    """Its own time-out is found first as it goes on; the box has run the setup, and the client must hear
-    so."""
+def test_an_answer_that_arrived_while_the_relay_was_paused_counts(tmp_path: Path) -> None:
+    """Guards against an answer that is lost after a pause of the relay.
+
+    When it resumes, the attempt's timer is due before the answer is read. The backend has accepted the
+    request, so the client must get its answer.
+    """
     backends = [Backend("s-a", "hang")]
     with RelayProgram(tmp_path, backends) as program:
         client = program.client()
@@ -171,14 +176,14 @@
         assert len(backends[0].heads) == 1
 
 
-@mark.parametrize("lie", [{"back": 3}, {"twice": True}])
-def test_a_discovery_that_is_out_of_step_is_followed_without_a_rush_of_calls(
-    lie: dict[str, int], tmp_path: Path
+@mark.parametrize("inconsistency", [{"back": 3}, {"twice": True}])
+def test_discovery_with_inconsistent_revisions_is_followed_without_a_burst_of_calls(
+    inconsistency: dict[str, int], tmp_path: Path
 ) -> None:
     backends = [Backend("s-a"), Backend("s-b")]
     with RelayProgram(tmp_path, backends) as program:
         discovery = program.discovery
-        vars(discovery).update(lie)
+        vars(discovery).update(inconsistency)
         wait_until(lambda: discovery.calls)
         for draining, left in (backends, backends[::-1]):
             discovery.members = [draining.entry("draining"), left.entry()]
@@ -186,15 +191,15 @@
             discovery.tell(*discovery.members)
             time.sleep(0.5)
             assert program.client().open(f"k{before}") == "UP r"
-            assert len(left.heads) == before + 1, "the drain is known"
-            assert len(discovery.calls) - asked < 16, "and discovery is not run down"
+            assert len(left.heads) == before + 1, "the drain must be known"
+            assert len(discovery.calls) - asked < 16, "discovery must not be overloaded by calls"
         vars(discovery).update({"back": 0, "twice": False})
         discovery.members = [backend.entry() for backend in backends]
         discovery.tell(*discovery.members)
         time.sleep(0.5)
         asked = len(discovery.calls)
         time.sleep(0.5)
-        assert len(discovery.calls) <= asked + 1, "in step again, a call waits for news"
+        assert len(discovery.calls) <= asked + 1, "in step again, a call must wait for changes"
 
 
 def test_bad_input_is_answered_closed_and_survived(tmp_path: Path) -> None:
@@ -224,8 +229,8 @@
             client = relay.client()
             client.link.sendall(line)
             assert client.read_line() == "ERR" and client.read_line() in ("", "reset"), line
-        assert not any(backend.heads for backend in backends), "what is refused no backend sees"
-        # Each line would be a warning: an hour of tries must not be the whole log.
+        assert not any(backend.heads for backend in backends), "no backend may get a request that was refused"
+        # Warnings are rate limited: an hour of bad input must not fill the log.
         assert relay.log.read_text().count("WARNING client") < 10
         half = relay.client()
         half.link.sendall(b"OPEN 1 k c=fe")
@@ -244,7 +249,7 @@
         assert relay.client().open() == "UP r"
 
 
-def test_sigterm_moves_what_is_open_answers_newcomers_and_ends(tmp_path: Path) -> None:
+def test_sigterm_moves_open_connections_answers_new_requests_and_ends(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b", "hang")]
     with RelayProgram(tmp_path, backends) as relay:
         clients = [relay.client() for _ in range(10)]
@@ -259,7 +264,10 @@
 
 
 def test_sigterm_keeps_clients_whose_own_relay_is_not_back_yet(tmp_path: Path) -> None:
-    """Relays are restarted in turn. Moved at once, the clients found neither this one nor the one before."""
+    """Guards against clients that find no relay while all are restarted in turn.
+
+    Moved at once, they found neither this relay nor the one restarted before it.
+    """
     with RelayProgram(tmp_path, [Backend("a"), Backend("b")]) as relay:
         clients = [relay.client() for _ in range(8)]
         names = ("c=feed,d=1500", "c=feed,d=1500,again=1")
@@ -274,8 +282,8 @@
         assert relay.process.returncode == 0
 
 
-def test_a_killed_relay_starts_again_from_the_list_it_was_told(tmp_path: Path) -> None:
-    """Discovery is down, and one backend of the old list has gone since: nobody listens at its address."""
+def test_a_killed_relay_starts_again_from_the_list_of_its_configuration(tmp_path: Path) -> None:
+    """Discovery is down, and nothing listens at the address of one backend of the old list."""
     backends, gone = [Backend("a"), Backend("b")], Backend("gone")
     gone.socket.shutdown(2)
     gone.socket.close()
@@ -298,14 +306,14 @@
         assert relay.client().open("new") == "UP r" and len(backends[0].heads) == held
 
 
-def test_a_backend_that_resets_right_after_its_answer_does_not_take_the_answer_along(tmp_path: Path) -> None:
+def test_a_backend_that_resets_right_after_its_answer_does_not_lose_the_answer(tmp_path: Path) -> None:
     with RelayProgram(tmp_path, [Backend("a", "UP r then reset")]) as relay:
-        # Flagged by its drops it gets nothing for a while, and then BUSY is the answer.
+        # The backend is ejected for its resets for a while, and BUSY is the answer meanwhile.
         answers = {relay.client().open(str(number)) for number in range(60)}
         assert "UP r" in answers and answers <= {"UP r", "BUSY"}
 
 
-def test_slots_run_out_without_harm_and_come_back(tmp_path: Path) -> None:
+def test_exhausted_slots_do_no_harm_and_are_released(tmp_path: Path) -> None:
     backend = Backend("a")
     with RelayProgram(tmp_path, [backend], limits={"cores": 1, "memory_mb": 192, "sockets": 200}) as relay:
         for _ in range(2):
@@ -318,7 +326,7 @@
         assert relay.client().open() == "UP r"
 
 
-def test_an_id_is_taken_once_until_its_tunnel_has_ended(tmp_path: Path) -> None:
+def test_an_id_is_accepted_once_until_its_connection_has_ended(tmp_path: Path) -> None:
     backends = [Backend(name, "hang", "UP r") for name in "ab"]
     backends[0].modes = backends[1].modes
     with RelayProgram(tmp_path, backends) as relay:
@@ -327,14 +335,14 @@
         first.link.sendall(line.encode() + b"\r\n")
         assert again.say(line) == "ERR" and first.read_line() == "UP r"
         assert relay.client().say(line) == "ERR"
-        assert first.say("M 1") == "M 1", "the first of the id is left in peace"
+        assert first.say("M 1") == "M 1", "the first request of the id must be unaffected"
         first.close()
         wait_until(lambda: "ended" in backends[0].ends + backends[1].ends)
         assert relay.client().say(line + ",again=1") == "UP r"
 
 
-def test_more_than_its_line_ends_a_client_that_waits(tmp_path: Path) -> None:
-    """Half a line too: its rest would come out behind UP, as the backend's to deal with."""
+def test_data_after_the_open_line_ends_a_waiting_client(tmp_path: Path) -> None:
+    """Also a partial line, as its rest would follow after UP and be forwarded to the backend."""
     backend = Backend("a", "hang")
     with RelayProgram(tmp_path, [backend]) as relay:
         client = relay.client()
@@ -342,11 +350,11 @@
         wait_until(lambda: backend.heads)
         assert client.say("M")[:3] == "ERR"
         wait_until(lambda: backend.ends)
-        stranger, start = relay.client(), time.monotonic()
-        assert stranger.open("k", "c=feed,d=4294967,at=nowhere") == "ERR" and time.monotonic() - start < 2.9
+        other, start = relay.client(), time.monotonic()
+        assert other.open("k", "c=feed,d=4294967,at=nowhere") == "ERR" and time.monotonic() - start < 2.9
 
 
-def test_who_says_nothing_is_ended_within_a_bound_that_nothing_puts_off(tmp_path: Path) -> None:
+def test_a_client_without_an_open_line_is_ended_within_a_bound_that_nothing_extends(tmp_path: Path) -> None:
     with RelayProgram(tmp_path, [Backend("a")]) as relay:
         silent, half, pings = (relay.client() for _ in range(3))
         start = time.monotonic()
@@ -358,23 +366,23 @@
         assert 2 < time.monotonic() - start < 2.9
 
 
-def test_strangers_who_say_nothing_keep_nobody_out(tmp_path: Path) -> None:
+def test_silent_connections_do_not_keep_other_clients_out(tmp_path: Path) -> None:
     limits = {"cores": 1, "memory_mb": 64, "sockets": 256}
     backend = Backend("a")
     with RelayProgram(tmp_path, [backend], limits=limits) as relay:
-        strangers = []
+        silent_clients = []
         for number in range(85):
-            strangers += [relay.client() for _ in range(6)]
-            for stranger in strangers[-3:]:
-                stranger.link.sendall(b"PING\r\n")
+            silent_clients += [relay.client() for _ in range(6)]
+            for silent_client in silent_clients[-3:]:
+                silent_client.link.sendall(b"PING\r\n")
             client = relay.client()
             assert client.open(str(number)) == "UP r"
-            strangers.append(client)  # and stays
+            silent_clients.append(client)  # and stays open
         assert relay.client().say("PING") == "PONG"
         assert "left" not in relay.log.read_text()
 
 
-def test_a_line_without_an_end_is_not_read_on(tmp_path: Path) -> None:
+def test_a_line_without_an_end_is_not_read_further(tmp_path: Path) -> None:
     with RelayProgram(tmp_path, [Backend("a")]) as relay:
         client = relay.client()
         start, sent = time.monotonic(), 0
@@ -385,7 +393,7 @@
         assert relay.client().open() == "UP r"
 
 
-def test_a_slow_reader_is_not_read_ahead_for(tmp_path: Path) -> None:
+def test_backend_data_is_not_buffered_for_a_slow_reader(tmp_path: Path) -> None:
     backend = Backend("a")
     with RelayProgram(tmp_path, [backend]) as relay:
         client = relay.client()
@@ -403,9 +411,12 @@
 
 
 def test_sighup_moves_the_watch_at_once_and_nothing_else(tmp_path: Path) -> None:
-    """Without a handler SIGHUP ended the process. The old call hangs here, as one without news does."""
+    """Guards against a relay that SIGHUP ends, as it did without a handler.
+
+    The call to the old discovery service hangs, as a call without changes does.
+    """
     backends, late = [Backend("a")], Backend("b")
-    # A service of its own counts revisions of its own: a watch since the old one's would hear nothing.
+    # Another service has revisions of its own: a watch since the old service's revision would get no changes.
     others = [Discovery([backends[0].entry(), late.entry()]) for _ in range(2)]
     for other in others:
         other.revision = 3
@@ -422,7 +433,7 @@
         relay.reload(discovery=others[0].address)
         relay.reload(discovery=others[1].address)
         with relay.discovery.changed:
-            relay.discovery.broken = b" "  # so that its call ends, and what it says comes to nobody
+            relay.discovery.broken = b" "  # so that its call ends, and its answer is ignored
             relay.discovery.tell()
         wait_until(lambda: relay.discovery.ended == 1)
         relay.terminate()
@@ -436,7 +447,7 @@
         assert relay.process.returncode == 0 and "discovery: " not in relay.log.read_text()
 
 
-def test_a_bad_new_configuration_is_one_logged_line_and_all_stays(tmp_path: Path) -> None:
+def test_an_invalid_new_configuration_is_one_log_line_and_changes_nothing(tmp_path: Path) -> None:
     with RelayProgram(tmp_path, [Backend("a")]) as relay:
         start = len(relay.log.read_text().splitlines())
         moved = json.dumps(relay.told | {"settings": relay.told["settings"] | {"zone": "nowhere"}})
@@ -449,7 +460,7 @@
         assert "settings.zone: 'nowhere'" in relay.log.read_text()
 
 
-def test_a_bad_configuration_is_one_plain_line(tmp_path: Path) -> None:
+def test_an_invalid_configuration_is_one_line_on_stderr(tmp_path: Path) -> None:
     path = tmp_path / "told.json"
     good = (
         '{"name":"n","listen":"127.0.0.1:9","discovery":"127.0.0.1:9","seed":"0",'
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -1,4 +1,4 @@
-"""What a relay can be added to by: observers, logs, the operator's file, and facts for the decision."""
+"""Extension points of a relay: observers, logs, the operator file, and external facts for the balancer."""
 
 from __future__ import annotations
 
@@ -25,56 +25,60 @@
 from cedarledge.terms import ExternalView
 
 
-class Ear(Observer):
+class SlowObserver(Observer):
+    """Counts moves; each takes `cost` ns of the stopwatch, and fails if told to."""
+
     def __init__(self, cost: int = 0, fails: bool = False) -> None:
-        self.heard = 0
+        self.events = 0
         self.cost = cost
         self.fails = fails
 
-    def moved(self, now: int, connection_id: int, backend_id: int) -> None:
-        self.heard += 1
-        Ear.watch += self.cost
+    def moved(self, now: int, tunnel_id: int, backend_id: int) -> None:
+        self.events += 1
+        SlowObserver.elapsed += self.cost
         if self.fails:
             raise ValueError("on purpose")
 
-    watch = 0
+    elapsed = 0
 
 
-def observers_of(*ears: Ear) -> tuple[Observers, Clock]:
+def observers_of(*given: SlowObserver) -> tuple[Observers, Clock]:
     clock = Clock()
 
     def now() -> int:
         return round(clock.seconds() * SECOND)
 
-    observers = Observers(now, Timers(clock, now), 0.05, 30 * SECOND, stopwatch=lambda: Ear.watch)
-    for ear in ears:
-        observers.add(ear)
+    observers = Observers(now, Timers(clock, now), 0.05, 30 * SECOND, stopwatch=lambda: SlowObserver.elapsed)
+    for observer in given:
+        observers.add(observer)
     return observers, clock
 
 
-@mark.parametrize("bad", [Ear(fails=True), Ear(cost=20 * MS)])
-def test_a_hearer_that_fails_or_takes_its_time_is_left_out_for_a_while_and_costs_no_other(bad: Ear) -> None:
-    good = Ear()
+@mark.parametrize("bad", [SlowObserver(fails=True), SlowObserver(cost=20 * MS)])
+def test_an_observer_that_fails_or_is_slow_is_excluded_for_a_while_and_affects_no_other(
+    bad: SlowObserver,
+) -> None:
+    good = SlowObserver()
     observers, clock = observers_of(bad, good)
     for _ in range(20):
         observers.notify("moved", 1, 2)
-    assert good.heard == 20
-    assert bad.heard <= MAX_FAULTS
+    assert good.events == 20
+    assert bad.events <= MAX_FAULTS
     clock.advance(31)
     observers.notify("moved", 1, 2)
-    assert bad.heard <= MAX_FAULTS + 1
-    assert good.heard == 21
+    assert bad.events <= MAX_FAULTS + 1
+    assert good.events == 21
 
 
-def test_a_hearer_within_its_share_goes_on_listening_for_good() -> None:
-    ear = Ear(cost=20 * MS)
-    observers, clock = observers_of(ear)
+def test_an_observer_within_its_time_limit_is_never_excluded() -> None:
+    observer = SlowObserver(cost=20 * MS)
+    observers, clock = observers_of(observer)
     for _ in range(50):
         clock.advance(0.5)
         observers.notify("moved", 1, 2)
-    assert ear.heard == 50
+    assert observer.events == 50
     observers.notify("opened", 1, 2, 3)
-    assert ear.heard == 50, "what it does not listen to is not told"
+    assert observer.events == 50, "it must not be notified of events that it does not override"
 
 
 @fixture
@@ -85,23 +89,23 @@
         os.close(end)
 
 
-def test_a_log_reader_that_stops_costs_lines_and_no_time(pipe: tuple[int, int]) -> None:
+def test_a_log_reader_that_stops_costs_lines_but_does_not_block(pipe: tuple[int, int]) -> None:
     reader, writer = pipe
     sink = NonBlockingSink(writer, max_bytes=8 << 10)
     line = "x" * 99 + "\n"
     began = time.monotonic()
     for _ in range(3000):
         sink(line)
-    assert time.monotonic() - began < 1, "a write to a full pipe would never come back"
+    assert time.monotonic() - began < 1, "a write to a full pipe would block"
     assert sink.dropped > 1000
     got = b""
     while b"dropped" not in got:
         got += os.read(reader, 1 << 16)
         sink.flush()
-    kept, told = got.decode().split("\n")[:-2], got.decode().split("\n")[-2]
-    assert len(kept) + sink.dropped == 3000, "every line is there or counted"
+    kept, notice = got.decode().split("\n")[:-2], got.decode().split("\n")[-2]
+    assert len(kept) + sink.dropped == 3000, "every line must be written or counted"
     assert set(kept) == {"x" * 99}
-    assert told.startswith(f"{sink.dropped} log lines were dropped")
+    assert notice.startswith(f"{sink.dropped} log lines were dropped")
 
 
 def test_json_lines_have_the_event_and_its_fields() -> None:
@@ -109,9 +113,9 @@
     number = logger.add(lines.append, format=as_json)
     logger.bind(event="tunnel.opened", tunnel=7, took=5).info("{} <and> tags", "{braces}")
     logger.remove(number)
-    told = json.loads(lines[0])
-    assert (told["event"], told["tunnel"], told["took"]) == ("tunnel.opened", 7, 5)
-    assert told["level"] == "INFO"
+    record = json.loads(lines[0])
+    assert (record["event"], record["tunnel"], record["took"]) == ("tunnel.opened", 7, 5)
+    assert record["level"] == "INFO"
 
 
 def test_a_fault_keeps_its_traceback_in_json() -> None:
@@ -125,7 +129,7 @@
     assert "test_a_fault_keeps" in json.loads(lines[0])["exception"]
 
 
-def test_every_problem_of_a_file_is_told_with_its_place(tmp_path: Path) -> None:
+def test_every_problem_of_a_file_is_reported_with_its_path(tmp_path: Path) -> None:
     path = tmp_path / "bad.toml"
     path.write_text(
         '[log]\nlevel = "loud"\nwaiting_kb = 1\nformm = "text"\n[boxes]\naside = ["a", 5]\n[level]\n'
@@ -151,7 +155,7 @@
         read_tables({"boxes": {"aside": ["a", "a"]}}, OperatorFile)
 
 
-def test_the_example_file_is_whole_and_has_the_defaults() -> None:
+def test_the_example_file_is_complete_and_has_the_defaults() -> None:
     path = Path(__file__).parents[1] / "deploy" / "operator.toml"
     assert read_operator_file(path) == OperatorFile()
     text = path.read_text()
@@ -161,7 +165,7 @@
             assert f"\n{field.name} = " in text
 
 
-def test_shipped_scenarios_are_good_and_their_plans_hang_on_the_seed_alone() -> None:
+def test_shipped_scenarios_are_valid_and_their_plans_depend_on_the_seed_alone() -> None:
     assert len(shipped()) >= 20
     for name in shipped():
         scenario = load_scenario(name)
@@ -176,7 +180,7 @@
         read_tables({"title": "x", "fault": [{"kind": "hang", "start": 99.0}]}, Scenario)
 
 
-def test_what_is_set_aside_gets_nothing_new_unless_it_would_be_all() -> None:
+def test_excluded_backends_get_no_new_connections_unless_all_are_excluded() -> None:
     host = host_with_backends(4, cells=1)
     host.balancer.external_view_changed(host.now, ExternalView(excluded=frozenset({0, 1, 2})))
     for number in range(6):
@@ -188,7 +192,9 @@
     assert len({backend_id for _, _, backend_id in host.sends}) > 1
 
 
-def test_the_operators_file_is_followed_and_read_again_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
+def test_the_operator_file_is_applied_and_read_again_and_an_invalid_one_changes_nothing(
+    tmp_path: Path,
+) -> None:
     backends = [Backend("s-a"), Backend("s-b")]
     path = tmp_path / "operator.toml"
     path.write_text('[log]\nform = "json"\nevents = ["opened", "answered"]\n[boxes]\naside = ["s-a"]\n')
@@ -197,15 +203,15 @@
         assert [client.open(f"k{number}") for number, client in enumerate(clients)] == ["UP r"] * 4
         assert (len(backends[0].heads), len(backends[1].heads)) == (0, 4)
 
-        def told() -> list[dict]:
+        def records() -> list[dict]:
             return [json.loads(line) for line in program.log.read_text().splitlines() if line.startswith("{")]
 
-        wait_until(lambda: sum(entry.get("event") == "tunnel.opened" for entry in told()) == 4)
+        wait_until(lambda: sum(entry.get("event") == "tunnel.opened" for entry in records()) == 4)
         path.write_text("[boxes]\naside = 5\n")
         program.process.send_signal(signal.SIGHUP)
         wait_until(lambda: "boxes.aside" in program.log.read_text())
         assert program.client().open("k9") == "UP r"
-        assert not backends[0].heads, "the old file holds"
+        assert not backends[0].heads, "the old file stays in effect"
         path.write_text('[boxes]\naside = ["s-b"]\n')
         program.process.send_signal(signal.SIGHUP)
         wait_until(lambda: "configuration read again" in program.log.read_text())
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -1,4 +1,4 @@
-"""A client that closes its connection or cancels has gone: no attempt begins more than 0.1 s later."""
+"""After a client closes its connection or cancels, no attempt for it may begin more than 0.1 s later."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from test_crossings import UNHURRIED, SelfStoppingRelay
 
 GONE_AFTER = 0.1
-ALLOWED_LATE = 2  # the third case breaks the rule
+ALLOWED_LATE = 2  # a third one violates the operators' terms
 WAVES, CLIENTS_PER_WAVE = 25, 16
 
 
@@ -42,13 +42,16 @@
 
 
 class PolledBackend(Backend):
-    """Reads only when it is polled, in the caller's thread. What a relay had written before it was paused is
-    all read by the poll after that, however busy the machine is: attempts are told apart by their order."""
+    """A backend that reads only when it is polled, in the caller's thread.
+
+    The first poll after the relay is paused reads everything that the relay had written before, however busy
+    the machine is, so that attempts before and after the pause can be distinguished.
+    """
 
     def __init__(self, name: str, draw: random.Random) -> None:
         self.name = name
         self.draw = draw
-        self.attempts: Counter[str] = Counter()  # by the client's id
+        self.attempts: Counter[str] = Counter()  # by request id
         self.links: dict[socket.socket, bytes] = {}
         self.probes: list[socket.socket] = []  # not answered yet
         self.socket = socket.create_server(("127.0.0.1", 0), backlog=512)
@@ -85,7 +88,7 @@
             self.probes.append(link)
         elif line.startswith(b"OPEN"):
             self.attempts[line.split()[1].decode()] += 1
-            # BUSY and silence are followed by a further attempt.
+            # After BUSY or no answer the relay makes another attempt.
             link.sendall(self.draw.choice([b"UP r\r\n", b"UP r\r\n", b"UP r\r\n", b"BUSY\r\n", b""]))
 
     def answer_probes(self) -> None:
@@ -116,17 +119,17 @@
 
 
 def cancel(client: Client) -> None:
-    """Ends its sending side alone."""
+    """Closes only the sending side."""
     client.link.shutdown(socket.SHUT_WR)
 
 
 def leave_behind_bytes(client: Client) -> None:
-    """What was said before hides the end from whoever looks at the next byte alone."""
+    """Sends data before the end, which hides the end from a check of the next byte alone."""
     client.link.sendall(b"M 1\r\nM 2")
     client.link.shutdown(socket.SHUT_WR)
 
 
-LEAVE: list[Callable[[Client], None]] = [leave_by_fin, leave_by_reset, cancel, leave_behind_bytes]
+WAYS_TO_LEAVE: list[Callable[[Client], None]] = [leave_by_fin, leave_by_reset, cancel, leave_behind_bytes]
 
 
 def ask(relay: RelayProgram, number: int) -> Client:
@@ -141,11 +144,14 @@
 
 
 def test_of_hundreds_of_clients_that_leave_none_is_attempted_later(tmp_path: Path) -> None:
-    """The relay is paused at any moment of their requests: unread, waiting for a probe's answer, connecting,
-    attempted once or more. All leave meanwhile, and it goes on after 0.1 s. One paused between the look at
-    its client and the write, which nothing can bring together, still writes: seen by a trace. With
-    Link.peer_has_left giving False up to 11 were attempted, and fewer than three in some runs: each single
-    step is forced below and in test_crossings.py."""
+    """Clients that leave while the relay is paused, at any stage of their requests.
+
+    The requests are unread, waiting for a probe, connecting, or attempted once or more. All clients leave
+    during the pause, and the relay resumes after 0.1 s. If it was paused between the check of a client and the
+    write to the backend, which cannot be made atomic, it still writes; a trace showed this. With
+    Link.peer_has_left always returning False, up to 11 requests were attempted later, and fewer than three in
+    some runs, so each single step is forced below and in test_crossings.py.
+    """
     draw = random.Random(4)
     backends = [PolledBackend(name, draw) for name in "abc"]
     before_leaving: Counter[str] = Counter()
@@ -153,29 +159,33 @@
         for wave in range(WAVES):
             first, arrived = wave * CLIENTS_PER_WAVE, draw.randint(CLIENTS_PER_WAVE // 2, CLIENTS_PER_WAVE)
             clients = [ask(relay, first + place) for place in range(arrived)]
-            # Every third time with probes that are answered only after the clients have left.
+            # In every third wave, probes are answered only after the clients have left.
             poll(backends, draw.uniform(0, 0.1), answers_probes=wave % 3 > 0)
             relay.pause()
             clients += [ask(relay, first + place) for place in range(arrived, CLIENTS_PER_WAVE)]
             for client in clients:
-                with suppress(OSError):  # it has had an answer
-                    draw.choice(LEAVE)(client)
+                with suppress(OSError):  # it may have got an answer
+                    draw.choice(WAYS_TO_LEAVE)(client)
             poll(backends, GONE_AFTER, answers_probes=False)
             attempts = attempts_by_client(backends)
             before_leaving.update({client.id: attempts[client.id] for client in clients})
             relay.resume()
             poll(backends, 0.05)
-        poll(backends, 1.5)  # past the time-out of attempts that hang
+        poll(backends, 1.5)  # beyond the timeout of attempts without an answer
     late = attempts_by_client(backends) - before_leaving
-    assert before_leaving.total() > len(before_leaving) // 40, "some are to leave after a first attempt"
+    assert before_leaving.total() > len(before_leaving) // 40, "some clients must leave after a first attempt"
     assert late.total() <= ALLOWED_LATE, f"{late} of {len(before_leaving)} clients that had left"
 
 
 @mark.parametrize(
     "place", ["clients OpenRequest line_for_backend after", "backends SetupLink resumeProducing before"]
 )
-def test_who_leaves_right_before_its_line_is_written_is_not_attempted(place: str, tmp_path: Path) -> None:
-    """The client was looked at before its line was put together, and a pause between the two hid its end."""
+def test_a_client_that_leaves_right_before_the_write_is_not_attempted(place: str, tmp_path: Path) -> None:
+    """Guards against a check of the client that happens too early.
+
+    The client was checked before its line was built, so its end was missed if the relay was paused in
+    between.
+    """
     backend = Backend("a")
     with SelfStoppingRelay(tmp_path, [backend], place.split(), settings=UNHURRIED) as relay:
         client = ask(relay, 1)
--- a/tests/test_tunnels.py
+++ b/tests/test_tunnels.py
@@ -1,4 +1,4 @@
-"""Tunnels between a front and boxes that do as they like, in any order: one answer each, all slots back."""
+"""Tunnels under random events: each request gets exactly one answer, and all slots are released."""
 
 from __future__ import annotations
 
@@ -25,58 +25,58 @@
 from cedarledge.policy import Balancer
 from cedarledge.terms import BackendState, ListForm, LoadReport, Outcome
 
-BOXES, MOST = 4, 5
+BACKENDS, CAPACITY = 4, 5
 FAILED = [Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT]
 
 
-class Transport:
+class FakeTransport:
     def registerProducer(self, producer: Any, streaming: bool) -> None:  # noqa: N802
-        """As Twisted's."""
+        """Does nothing."""
 
 
-class Client:
-    """An interfaces.ClientConnection that notes what it is told."""
+class RecordingClient:
+    """An interfaces.ClientConnection that records its answers."""
 
     def __init__(self) -> None:
-        self.transport = Transport()
-        self.said: list[str] = []
+        self.transport = FakeTransport()
+        self.answers: list[str] = []
         self.tunnel_id = -1
 
     def peer_has_left(self) -> bool:
-        return "LEFT" in self.said
+        return "LEFT" in self.answers
 
     def accept(self, line: bytes) -> None:
-        self.said.append("UP")
+        self.answers.append("UP")
 
     def reject(self, retry_after: int) -> None:
-        self.said.append("BUSY")
+        self.answers.append("BUSY")
 
     def send_error(self) -> None:
-        self.said.append("ERR")
+        self.answers.append("ERR")
 
     def send_move(self) -> None:
-        self.said.append("MOVE")
+        self.answers.append("MOVE")
 
     def finish(self) -> None:
-        self.said.append("END")
+        self.answers.append("END")
 
     def abort(self) -> None:
-        self.said.append("RESET")
+        self.answers.append("RESET")
 
     def send_lines(self, lines: list[bytes]) -> None:
-        assert self.said == ["UP"], "lines on a tunnel that is not open"
+        assert self.answers == ["UP"], "lines on a connection that is not open"
 
     def bad_input(self, why: str) -> None:
-        self.said.append("ERR")
+        self.answers.append("ERR")
 
 
-class SetupStub:
+class FakeAttempt:
     def __init__(self, backend_id: int, began: int) -> None:
         self.backend_id = backend_id
         self.began = began
         self.written = False
         self.over = False
-        self.transport = Transport()
+        self.transport = FakeTransport()
 
     def call_off(self, abrupt: bool = False) -> None:
         self.over = True
@@ -85,24 +85,24 @@
         assert not self.over
 
 
-class Ear(Observer):
-    """Counts, and fails."""
+class CountingObserver(Observer):
+    """Counts requests, and fails on each end of one."""
 
     def __init__(self) -> None:
-        self.came = self.went = 0
+        self.arrivals = self.ends = 0
 
     def arrived(self, now: int, tunnel_id: int, profile: int, returning: bool) -> None:
-        self.came += 1
+        self.arrivals += 1
 
     def ended(self, now: int, tunnel_id: int, took: int) -> None:
-        self.went += 1
-        raise RuntimeError("a hearer that fails each time")
+        self.ends += 1
+        raise RuntimeError("an observer that always fails")
 
 
 class Scene:
-    """Everything of a relay between its front and its boxes, on a clock of its own."""
+    """The parts of a relay between its frontend and its backends, with a fake clock."""
 
-    def __init__(self, broken: bool = False) -> None:
+    def __init__(self, is_failing: bool = False) -> None:
         self.reactor = Clock()
         timers = Timers(self.reactor, self.now)
         context = ConnectionContext(
@@ -116,7 +116,7 @@
         )
         self.invariants = context.invariants
         observers = Observers(self.now, timers)
-        observers.add(Ear())
+        observers.add(CountingObserver())
         self.policy_host = RelayPolicyHost(self.now, timers)
         self.boxes = BoxList(self.policy_host, observers, {})
         profiles = {"a": 0, "b": 1, "c": 2}
@@ -125,7 +125,7 @@
             self.policy_host,
             self.boxes,
             observers,
-            MOST,
+            CAPACITY,
             profiles,
             {},
             [SECOND] * 3,
@@ -137,11 +137,13 @@
         )
         self.policy_host.connect(self.tunnels, self, self.boxes, self)
         self.timers = timers
-        self.out: dict[int, SetupStub] = {}
-        self.clients: list[Client] = []
+        self.attempts: dict[int, FakeAttempt] = {}
+        self.clients: list[RecordingClient] = []
         self.full = False
-        self.policy_host.start(make_settings(start_time=self.now()), Broken if broken else Balancer)
-        entries = [list_entry(backend_id, cells=2) for backend_id in range(BOXES)]
+        self.policy_host.start(
+            make_settings(start_time=self.now()), FailingBalancer if is_failing else Balancer
+        )
+        entries = [list_entry(backend_id, cells=2) for backend_id in range(BACKENDS)]
         for entry in entries:
             self.boxes.addresses[self.boxes.backend_ids[f"s-{entry.backend_id}"]] = ("127.0.0.1", 1)
         self.listing = {entry.backend_id: entry for entry in entries}
@@ -150,99 +152,101 @@
     def now(self) -> int:
         return round(self.reactor.seconds() * SECOND) + 1000 * SECOND
 
-    # -- what the module's host and the tunnels ask of others --------------------------------------
+    # -- fakes of Backends and Watch ---------------------------------------------------------------
 
     def set_up(
         self, tunnel_id: int, backend_id: int, address: Any, head: Any, timeout: int, within: int
-    ) -> SetupStub:
-        assert tunnel_id not in self.out, "two setups of one tunnel at once"
+    ) -> FakeAttempt:
+        assert tunnel_id not in self.attempts, "two attempts of one request at once"
         if self.full:
             raise NoFreeSlotError
-        self.out[tunnel_id] = SetupStub(backend_id, self.now())
-        self.timers.after(timeout, self._too_late, tunnel_id, self.out[tunnel_id])
-        return self.out[tunnel_id]
+        self.attempts[tunnel_id] = FakeAttempt(backend_id, self.now())
+        self.timers.after(timeout, self._time_out, tunnel_id, self.attempts[tunnel_id])
+        return self.attempts[tunnel_id]
 
     def probe(self, backend_id: int, address: Any) -> None:
-        """Never answered: looks run out."""
+        """Probes are never answered."""
 
     def start(self) -> None:
-        """Discovery."""
+        """Discovery never answers."""
 
-    def _too_late(self, tunnel_id: int, setup: SetupStub) -> None:
-        if self.out.get(tunnel_id) is setup and not setup.over:
-            self.ends(tunnel_id, Outcome.TIMEOUT)
+    def _time_out(self, tunnel_id: int, attempt: FakeAttempt) -> None:
+        if self.attempts.get(tunnel_id) is attempt and not attempt.over:
+            self.end_attempt(tunnel_id, Outcome.TIMEOUT)
 
-    # -- what happens ------------------------------------------------------------------------------
+    # -- events ------------------------------------------------------------------------------------
 
-    def comes(self, profile: str) -> None:
-        client = Client()
+    def client_arrives(self, profile: str) -> None:
+        client = RecordingClient()
         self.clients.append(client)
         line = f"OPEN i{len(self.clients)} k{len(self.clients) % 3} c={profile},d=900,g=g"
         client.tunnel_id = self.tunnels.request_arrived(client, parse_open_request(line.encode()))
 
-    def _setup(self, pick: int, is_open: bool) -> int | None:
+    def _pick_attempt(self, pick: int, is_open: bool) -> int | None:
         tunnel_ids = [
             tunnel_id
-            for tunnel_id, setup in self.out.items()
-            if not setup.over and bool(self.tunnels.table.get(tunnel_id).is_open) == is_open
+            for tunnel_id, attempt in self.attempts.items()
+            if not attempt.over and bool(self.tunnels.table.get(tunnel_id).is_open) == is_open
         ]
         return tunnel_ids[pick % len(tunnel_ids)] if tunnel_ids else None
 
-    def comes_up(self, pick: int) -> None:
-        tunnel_id = self._setup(pick, is_open=False)
+    def attempt_opens(self, pick: int) -> None:
+        tunnel_id = self._pick_attempt(pick, is_open=False)
         if tunnel_id is not None:
-            self.out[tunnel_id].written = True
-            self.tunnels.setup_up(tunnel_id, b"UP r", self.now() - self.out[tunnel_id].began)
+            self.attempts[tunnel_id].written = True
+            self.tunnels.setup_up(tunnel_id, b"UP r", self.now() - self.attempts[tunnel_id].began)
             self.tunnels.lines_from_client(tunnel_id, [b"m"])
             self.tunnels.lines_back(tunnel_id, [b"LOAD 0.5", b"LOAD none", b"e"])
 
-    def fails(self, pick: int, outcome: Outcome) -> None:
-        tunnel_id = self._setup(pick, is_open=False)
+    def attempt_fails(self, pick: int, outcome: Outcome) -> None:
+        tunnel_id = self._pick_attempt(pick, is_open=False)
         if tunnel_id is not None:
-            self.ends(tunnel_id, outcome)
+            self.end_attempt(tunnel_id, outcome)
 
-    def ends(self, tunnel_id: int, outcome: Outcome) -> None:
-        setup = self.out.pop(tunnel_id)
-        setup.over = True
-        self.tunnels.setup_over(tunnel_id, setup.backend_id, outcome, self.now() - setup.began, None, True)
+    def end_attempt(self, tunnel_id: int, outcome: Outcome) -> None:
+        attempt = self.attempts.pop(tunnel_id)
+        attempt.over = True
+        self.tunnels.setup_over(
+            tunnel_id, attempt.backend_id, outcome, self.now() - attempt.began, None, True
+        )
 
-    def box_ends(self, pick: int, outcome: Outcome) -> None:
-        tunnel_id = self._setup(pick, is_open=True)
+    def backend_closes(self, pick: int, outcome: Outcome) -> None:
+        tunnel_id = self._pick_attempt(pick, is_open=True)
         if tunnel_id is not None:
-            self.ends(tunnel_id, outcome)
+            self.end_attempt(tunnel_id, outcome)
 
-    def leaves(self, pick: int) -> None:
-        held = [client for client in self.clients if client.tunnel_id >= 0 and client.said in ([], ["UP"])]
+    def client_leaves(self, pick: int) -> None:
+        held = [client for client in self.clients if client.tunnel_id >= 0 and client.answers in ([], ["UP"])]
         if held:
             client = held[pick % len(held)]
             self.tunnels.client_closed(client.tunnel_id, abrupt=bool(pick % 2))
-            client.said.append("LEFT")
+            client.answers.append("LEFT")
 
-    def lists(self, pick: int, standing: BackendState) -> None:
-        backend_id = pick % BOXES
-        self.listing[backend_id] = self.listing[backend_id]._replace(state=standing)
+    def list_changes(self, pick: int, state: BackendState) -> None:
+        backend_id = pick % BACKENDS
+        self.listing[backend_id] = self.listing[backend_id]._replace(state=state)
         self.boxes.changed(ListForm.CHANGES, [self.listing[backend_id]])
 
-    def reports(self, pick: int, asked: float) -> None:
+    def backend_reports(self, pick: int, asked: float) -> None:
         self.policy_host.call(
-            self.policy_host.balancer.probe_ended, pick % BOXES, asked < 5, LoadReport(offered_load=asked)
+            self.policy_host.balancer.probe_ended, pick % BACKENDS, asked < 5, LoadReport(offered_load=asked)
         )
 
 
-class Broken(Balancer):
-    """Fails on every third thing that it is told."""
+class FailingBalancer(Balancer):
+    """Fails while it places requests."""
 
-    told = 0
+    placements = 0
 
     def _place(self, now: int, connection_id: int, connection: Any) -> None:
-        self.told += 1
-        if self.told % 3 == 0:
+        self.placements += 1
+        if self.placements % 3 == 0:
             raise RuntimeError("on purpose")
         super()._place(now, connection_id, connection)
 
 
-def check_answers(client: Client) -> None:
-    assert client.said in (
+def check_answers(client: RecordingClient) -> None:
+    assert client.answers in (
         [],
         ["UP"],
         ["BUSY"],
@@ -252,74 +256,79 @@
         ["UP", "END"],
         ["UP", "RESET"],
         ["UP", "LEFT"],
-    ), client.said
+    ), client.answers
 
 
 pick = st.integers(0, 20)
 steps = st.one_of(
-    st.tuples(st.just("comes"), st.sampled_from("abc")),
-    st.tuples(st.just("comes"), st.sampled_from("abc")),
-    st.tuples(st.just("comes_up"), pick),
-    st.tuples(st.just("fails"), pick, st.sampled_from(FAILED)),
-    st.tuples(st.just("box_ends"), pick, st.sampled_from([Outcome.DONE, Outcome.RESET, Outcome.CANCELLED])),
-    st.tuples(st.just("leaves"), pick),
-    st.tuples(st.just("lists"), pick, st.sampled_from(list(BackendState))),
-    st.tuples(st.just("reports"), pick, st.sampled_from([0.1, 0.9, 1.5, 9.0])),
-    st.tuples(st.just("waits"), st.sampled_from([1, 40, 300, 2500])),
-    st.tuples(st.just("silent"), pick),
-    st.tuples(st.just("fill"), st.booleans()),
+    st.tuples(st.just("client_arrives"), st.sampled_from("abc")),
+    st.tuples(st.just("client_arrives"), st.sampled_from("abc")),
+    st.tuples(st.just("attempt_opens"), pick),
+    st.tuples(st.just("attempt_fails"), pick, st.sampled_from(FAILED)),
+    st.tuples(
+        st.just("backend_closes"), pick, st.sampled_from([Outcome.DONE, Outcome.RESET, Outcome.CANCELLED])
+    ),
+    st.tuples(st.just("client_leaves"), pick),
+    st.tuples(st.just("list_changes"), pick, st.sampled_from(list(BackendState))),
+    st.tuples(st.just("backend_reports"), pick, st.sampled_from([0.1, 0.9, 1.5, 9.0])),
+    st.tuples(st.just("time_passes"), st.sampled_from([1, 40, 300, 2500])),
+    st.tuples(st.just("connection_silent"), pick),
+    st.tuples(st.just("slots_full"), st.booleans()),
 )
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.lists(steps, max_size=60), st.booleans())
-def test_no_order_of_faults_leaves_a_tunnel_without_its_one_answer(
-    sequence: list[tuple], broken: bool
+def test_no_order_of_faults_leaves_a_request_without_exactly_one_answer(
+    sequence: list[tuple], is_failing: bool
 ) -> None:
-    scene = Scene(broken)
+    scene = Scene(is_failing)
     for name, *arguments in sequence:
-        if name == "waits":
+        if name == "time_passes":
             for _ in range(max(1, arguments[0] // 40)):
                 scene.reactor.advance(min(40, arguments[0]) / 1000)
-        elif name == "fill":
+        elif name == "slots_full":
             scene.full = arguments[0]
-        elif name == "silent":
-            tunnel_id = scene._setup(arguments[0], is_open=True)
+        elif name == "connection_silent":
+            tunnel_id = scene._pick_attempt(arguments[0], is_open=True)
             if tunnel_id is not None:
                 scene.tunnels.silent(tunnel_id)
         else:
             getattr(scene, name)(*arguments)
         for client in scene.clients:
             check_answers(client)
-    # Past the last client timeout nobody may be waiting, whatever the boxes did.
+    # After the last client timeout no client may be waiting, whatever the backends did.
     for _ in range(40):
         scene.reactor.advance(0.025)
     for client in scene.clients:
         check_answers(client)
-        assert client.said, "a client without an answer"
+        assert client.answers, "a client without an answer"
     scene.tunnels.close_all()
     scene.reactor.advance(0.01)
-    assert scene.tunnels.table.used == 0, "every slot is back"
+    assert scene.tunnels.table.used == 0, "every slot is released"
     assert not scene.tunnels.ids
     assert not scene.invariants.counts
-    if not broken:
+    if not is_failing:
         state = scene.policy_host.balancer.state
         assert not (state.connections or state.awaiting_probe or state.in_flight), (
-            "nothing is counted that is not there"
+            "the balancer counts no connection that does not exist"
         )
         assert not any(
             member.open or member.pending or member.connections for member in state.backends.values()
         )
 
 
-def test_a_setup_that_found_no_slot_is_not_counted_once_its_client_has_left() -> None:
-    """Both in one turn of the reactor: the module counted it for as long as the relay ran."""
+def test_an_attempt_that_found_no_slot_is_not_counted_once_its_client_has_left() -> None:
+    """Guards against an attempt that the balancer counts for good.
+
+    The attempt finds no slot and the client leaves in the same reactor iteration.
+    """
     scene = Scene()
-    for backend_id in range(BOXES):
-        scene.reports(backend_id, 0.1)
+    for backend_id in range(BACKENDS):
+        scene.backend_reports(backend_id, 0.1)
     scene.full = True
-    scene.comes("a")
-    scene.leaves(0)
+    scene.client_arrives("a")
+    scene.client_leaves(0)
     state = scene.policy_host.balancer.state
     assert state.in_flight == 1
     scene.reactor.advance(0)
@@ -330,14 +339,17 @@
     )
 
 
-def test_a_module_that_fails_as_all_are_ended_leaves_nobody_without_an_answer() -> None:
-    """Who waited was answered by the first failure, and the sweep broke off at the next of them."""
+def test_a_balancer_that_fails_while_all_are_closed_leaves_no_client_without_an_answer() -> None:
+    """Guards against a sweep that stops early.
+
+    The first failure of the balancer answers all waiting requests, so the sweep meets ids that are gone.
+    """
     scene = Scene()
-    for backend_id in range(BOXES):
-        scene.reports(backend_id, 0.1)
-    scene.reactor.advance(4)  # so they wait for a look
+    for backend_id in range(BACKENDS):
+        scene.backend_reports(backend_id, 0.1)
+    scene.reactor.advance(4)  # so that requests wait for a probe
     for _ in range(3):
-        scene.comes("a")
+        scene.client_arrives("a")
 
     def fails(*_: Any) -> None:
         raise RuntimeError("on purpose")
@@ -345,4 +357,4 @@
     scene.policy_host.balancer.client_gone = fails
     scene.tunnels.close_all()
     scene.reactor.advance(0.01)
-    assert [client.said for client in scene.clients] == [["ERR"]] * 3
+    assert [client.answers for client in scene.clients] == [["ERR"]] * 3
--- a/tests/wire_lines.py
+++ b/tests/wire_lines.py
@@ -1,4 +1,4 @@
-"""Starts the adapter once on a few hand-written lines and compares its replies."""
+"""Runs the simulator's adapter on a few hand-written lines and compares its replies."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
             ["endpoints", 3, "restored", 1, [[0, "here", "Running", "box", 1, "backend_a"]]],
         ],
     },
-    # The timer by which the list is asked for; its number is the module's.
+    # The timer after which the list is requested; the balancer chose its token.
     {"moment": 15, "round": 3, "input": [["elapsed", 3, 2]]},
     {"moment": 20, "round": 4, "input": [["inbound", 3, WIDE, "odd", None, "k", 240000]]},
     {"moment": 90, "round": 5, "input": [["verdict", 3, WIDE, "backend_a", False, "T", 0, 70]]},
