--- a/cedarledge/net/audit.py
+++ b/cedarledge/net/audit.py
@@ -47,11 +47,11 @@
         self._told_at, self._told = timers.now(), ""
         self._reported: set[int] = set()  # handles of those that were counted already
         self._due: Timer | None = None
-        timers.stuck = self._timers_stuck
+        timers.on_stuck = self._timers_stuck
 
     def start(self) -> None:
         # Behind what lies unread: a pause of this process is no fault of what it owes.
-        self._due = self._timers.after_reading(AUDIT_EVERY, self._look)
+        self._due = self._timers.after_pending_reads(AUDIT_EVERY, self._look)
 
     def _look(self) -> None:
         self.start()
@@ -74,7 +74,7 @@
         if not tunnel.is_open:
             if deadline and now > deadline + TIME_LIMIT_GRACE:
                 self._broken(Invariant.OVERDUE_REQUEST, handle, tunnel)
-        elif tunnel.echo is not None and tunnel.echo.silent_for(now) > LONGEST_SILENCE:
+        elif tunnel.message_timer is not None and tunnel.message_timer.unanswered_for(now) > LONGEST_SILENCE:
             self._broken(Invariant.HELD_SILENT, handle, tunnel)
 
     def _broken(self, invariant: Invariant, handle: int, tunnel: Tunnel) -> None:
--- a/cedarledge/net/boxlist.py
+++ b/cedarledge/net/backend_registry.py
@@ -20,7 +20,7 @@
     return int(told.get("up_since_ms") or 0) * MS
 
 
-class BoxList:
+class BackendRegistry:
     """Hands out the boxes' numbers, and passes each change on the moment it is read: the grace for drains
     runs from when discovery wrote it. What operators say of a box is merged in here: one that they have taken
     out reaches the module as one that drains, whatever the list says of it."""
@@ -32,16 +32,16 @@
         self.observers = observers
         self.backend_ids = Indices()
         self.zones = Indices(settings.get("dcs"))
-        self.kinds = Indices(settings.get("host_types"))
+        self.host_types = Indices(settings.get("host_types"))
         self.addresses: dict[int, Address] = {}  # of all that a list has ever named
-        self.listed: dict[int, dict[str, Any]] = {}  # the entries of those on it, as they were told
+        self.entries: dict[int, dict[str, Any]] = {}  # the entries of those on it, as they were told
         self.ready: set[int] = set()
-        self.heard = False  # of discovery itself, not only what this relay was started with
+        self.has_discovery_list = False  # of discovery itself, not only what this relay was started with
         self.banned: dict[int, int] = {}  # taken out by operators, and since when
-        self.back: dict[int, int] = {}  # put back by them, and when
+        self.readmitted: dict[int, int] = {}  # put back by them, and when
         self.start_times = StartTimes(policy_host.clock)
 
-    def entry(self, told: Mapping[str, Any]) -> BackendEntry:
+    def parse_entry(self, told: Mapping[str, Any]) -> BackendEntry:
         """One entry in the module's terms. Raises KeyError, TypeError or ValueError for what is none."""
         # What the page does not name gets nothing new, as a draining one; the rest of the list still counts.
         standing = PHASES.get(told["phase"], BackendState.DRAINING)
@@ -51,49 +51,49 @@
         if standing is BackendState.READY and backend_id in self.banned:
             standing = BackendState.DRAINING
         # One that was put back was started anew while it was out; the list may learn of that later.
-        started = max(self.start_of(backend_id, told), self.back.get(backend_id, 0))
+        started = max(self.start_time(backend_id, told), self.readmitted.get(backend_id, 0))
         return BackendEntry(
             backend_id,
             int(told.get("cell") or 0),
             self.zones[told.get("locality")],
-            self.kinds[told.get("flavor")],
+            self.host_types[told.get("flavor")],
             float(told.get("size") or 0),
             standing,
             started,
             stable_hash(told["id"]),
         )
 
-    def start_of(self, backend_id: int, told: Mapping[str, Any]) -> int:
+    def start_time(self, backend_id: int, told: Mapping[str, Any]) -> int:
         """When an entry's backend started, on this relay's clock; 0: long ago. Raises ValueError or
         TypeError."""
-        return self.start_times.place(backend_id, _unix_start(told))
+        return self.start_times.on_relay_clock(backend_id, _unix_start(told))
 
-    def known_at_start(self, members: list[dict[str, Any]]) -> list[BackendEntry]:
+    def load_initial(self, members: list[dict[str, Any]]) -> list[BackendEntry]:
         """The list that this relay was started with, in the module's terms. Raises KeyError, TypeError or
         ValueError."""
-        self.start_times.begin(map(_unix_start, members))
-        return [self.entry(told) for told in members]
+        self.start_times.calibrate(map(_unix_start, members))
+        return [self.parse_entry(told) for told in members]
 
-    def told(self, whole: bool, members: list[dict[str, Any]]) -> None:
+    def update(self, whole: bool, members: list[dict[str, Any]]) -> None:
         """Raises KeyError, TypeError or ValueError, and then nothing has changed."""
-        self.take_in(ListForm.WHOLE if whole else ListForm.CHANGES, members)
-        self.heard = True
+        self.apply_list(ListForm.WHOLE if whole else ListForm.CHANGES, members)
+        self.has_discovery_list = True
 
-    def take_in(self, form: ListForm, members: list[dict[str, Any]]) -> None:
-        entries = [self.entry(told) for told in members]
+    def apply_list(self, form: ListForm, members: list[dict[str, Any]]) -> None:
+        entries = [self.parse_entry(told) for told in members]
         if form is not ListForm.CHANGES:
-            self.listed.clear()
+            self.entries.clear()
         for told, entry in zip(members, entries, strict=True):
-            self.listed[entry.backend_id] = told
+            self.entries[entry.backend_id] = told
             if entry.state is BackendState.GONE:
-                del self.listed[entry.backend_id]
-        self.changed(form, entries)
+                del self.entries[entry.backend_id]
+        self.publish(form, entries)
 
-    def lost(self) -> None:
+    def mark_unavailable(self) -> None:
         self.policy_host.call(self.policy_host.balancer.list_changed, ListForm.UNAVAILABLE, [])
         self.observers.notify("listed", ListForm.UNAVAILABLE, [])
 
-    def changed(self, form: ListForm, entries: list[BackendEntry]) -> None:
+    def publish(self, form: ListForm, entries: list[BackendEntry]) -> None:
         if form is not ListForm.CHANGES:
             self.ready.clear()
         self.ready -= {entry.backend_id for entry in entries}
@@ -101,14 +101,14 @@
         self.policy_host.call(self.policy_host.balancer.list_changed, form, entries)
         self.observers.notify("listed", form, entries)
 
-    def set_aside(self, names: Collection[str]) -> None:
+    def set_excluded(self, names: Collection[str]) -> None:
         """What the operator wants nothing new sent to. A box that is not on the list yet is known by its
         name."""
         self.policy_host.update_external_view(excluded=frozenset(self.backend_ids[name] for name in names))
 
     # -- what operators call -----------------------------------------------------------------------
 
-    def known(self, name: str) -> int | None:
+    def find(self, name: str) -> int | None:
         """Whom a list has ever named; a ban may outlast its place there."""
         backend_id = self.backend_ids.get(name)
         return backend_id if backend_id in self.addresses or backend_id in self.banned else None
@@ -118,15 +118,15 @@
         if self.banned.setdefault(backend_id, now) == now:
             self._tell_again(backend_id)
 
-    def put_back(self, backend_id: int, now: int) -> None:
+    def unban(self, backend_id: int, now: int) -> None:
         since = self.banned.pop(backend_id, None)
         if since is None:
             return
-        told = self.listed.get(backend_id)
-        if told is None or self.start_of(backend_id, told) <= since:
-            self.back[backend_id] = now
+        told = self.entries.get(backend_id)
+        if told is None or self.start_time(backend_id, told) <= since:
+            self.readmitted[backend_id] = now
         self._tell_again(backend_id)
 
     def _tell_again(self, backend_id: int) -> None:
-        if backend_id in self.listed:
-            self.changed(ListForm.CHANGES, [self.entry(self.listed[backend_id])])
+        if backend_id in self.entries:
+            self.publish(ListForm.CHANGES, [self.parse_entry(self.entries[backend_id])])
--- a/cedarledge/net/backends.py
+++ b/cedarledge/net/backends.py
@@ -13,12 +13,12 @@
 from zope.interface import implementer
 
 from cedarledge.net.config import Address
+from cedarledge.net.line_connection import ConnectionContext, LineConnection
 from cedarledge.net.lines import parse_finite
-from cedarledge.net.links import ConnectionContext, Link
-from cedarledge.net.paces import Paces
-from cedarledge.net.shortages import was_not_tried
+from cedarledge.net.probe_latency import ProbeLatencies
 from cedarledge.net.slots import NoFreeSlotError
 from cedarledge.net.timers import Timer
+from cedarledge.net.transient_errors import connect_not_attempted
 from cedarledge.settings import ReportReader
 from cedarledge.terms import MS, LoadReport, Outcome
 
@@ -36,15 +36,15 @@
 ProbeOver = Callable[[int, bool, LoadReport], None]
 
 
-class Watcher(Protocol):
+class SetupObserver(Protocol):
     """Where the backends' side tells what comes of setups."""
 
     def may_send(self, tunnel_id: int, backend_id: int) -> bool: ...
-    def client_waits(self, tunnel_id: int) -> int: ...
+    def client_time_left(self, tunnel_id: int) -> int: ...
     def client_has_left(self, tunnel_id: int) -> bool: ...
-    def setup_up(self, tunnel_id: int, line: bytes, took: int) -> None: ...
-    def lines_back(self, tunnel_id: int, lines: list[bytes]) -> None: ...
-    def garbled(self, tunnel_id: int) -> None: ...
+    def setup_opened(self, tunnel_id: int, line: bytes, took: int) -> None: ...
+    def backend_lines_received(self, tunnel_id: int, lines: list[bytes]) -> None: ...
+    def backend_lines_malformed(self, tunnel_id: int) -> None: ...
     def setup_over(
         self,
         tunnel_id: int,
@@ -65,7 +65,7 @@
         return None
 
 
-class Once(Factory):
+class SingleProtocolFactory(Factory):
     """Gives a connection its protocol. Twisted's connectProtocol makes a class for each call to do so."""
 
     noisy = False
@@ -77,8 +77,8 @@
         return self.link
 
 
-class BackendLink(Link):
-    """A connection that this relay opens. Whatever is opened ends in Link._gone."""
+class BackendConnection(LineConnection):
+    """A connection that this relay opens. Whatever is opened ends in Link._release."""
 
     peer = "backend"
 
@@ -88,14 +88,14 @@
         self._connecting: Deferred | None = None
         self._next_try: Timer | None = None
 
-    def connect(self, within: int, reads_first: bool = True) -> None:
-        self.due_in(within, self._never_up, reads_first)
+    def connect(self, within: int, pending_reads_first: bool = True) -> None:
+        self.set_deadline(within, self._never_up, pending_reads_first)
         self._begin()
 
     def _begin(self) -> None:
         self._next_try = None
         endpoint = TCP4ClientEndpoint(self.context.reactor, *self.address, timeout=None)
-        self._connecting = endpoint.connect(Once(self))
+        self._connecting = endpoint.connect(SingleProtocolFactory(self))
         self._connecting.addErrback(self._not_up)
 
     def _never_up(self) -> None:
@@ -106,7 +106,7 @@
             self._connecting.cancel()
 
     def _not_up(self, why: Failure) -> None:
-        if was_not_tried(why.value) and not self.ending:
+        if connect_not_attempted(why.value) and not self.ending:
             # This machine lacked something for it: that says nothing of the backend, and may be over.
             self._next_try = self.context.timers.after(TRY_AGAIN, self._begin)
         else:
@@ -115,7 +115,7 @@
     def _failed(self) -> None:
         self._next_try = None
         self._ended_by_peer(abrupt=True)
-        self._gone()
+        self._release()
 
     def abort(self) -> None:
         super().abort()
@@ -124,12 +124,12 @@
 
 
 @implementer(IPullProducer)
-class SetupLink(BackendLink):
+class SetupConnection(BackendConnection):
     """One setup: the first line, the backend's answer to it, then the tunnel's backend end."""
 
     def __init__(
         self,
-        backends: Backends,
+        backends: BackendConnector,
         tunnel_id: int,
         backend_id: int,
         address: Address,
@@ -146,7 +146,7 @@
         self.writing = self.written = self.opened = self.over = False
         self.last: tuple[Outcome, LoadReport | None] | None = None
 
-    def came_up(self) -> None:
+    def on_connected(self) -> None:
         left = self.give_up - self.context.clock()
         if left <= 0 or not self.backends.watcher.may_send(self.tunnel_id, self.backend_id):
             # The list may have told of a drain while this was connecting, and a send counts from its line.
@@ -154,8 +154,8 @@
             self._settle(Outcome.NOT_SENT)
             return
         # The last setup's end is the client's answer, which is not put off.
-        spare = self.backends.watcher.client_waits(self.tunnel_id) - left
-        self.due_in(left, self._too_late, reads_first=spare > TURN)
+        spare = self.backends.watcher.client_time_left(self.tunnel_id) - left
+        self.set_deadline(left, self._too_late, pending_reads_first=spare > TURN)
         # As a pull producer it is asked once for the line, and once more when the system has taken what it
         # did not take at once.
         self.transport.registerProducer(self, False)
@@ -182,22 +182,22 @@
         self.abort()
         self._settle(Outcome.TIMEOUT)
 
-    def lines_came(self, lines: list[bytes]) -> None:
+    def lines_received(self, lines: list[bytes]) -> None:
         if not self.written:
             # No backend answers what it has not read: this line is nobody's, and the client's never ran.
-            self.bad_input("an answer before the line was written")
+            self.protocol_error("an answer before the line was written")
             return
         if not self.opened:
             self._answered(lines.pop(0))
         if lines and self.opened and not self.ending:
             self.last = self._ends(lines[-1])
-            self.backends.watcher.lines_back(self.tunnel_id, lines)
+            self.backends.watcher.backend_lines_received(self.tunnel_id, lines)
 
     def _answered(self, line: bytes) -> None:
         if line.partition(b" ")[0] == b"UP":
             self.opened = True
-            self.nothing_due()
-            self.backends.watcher.setup_up(self.tunnel_id, line, self.context.clock() - self.began)
+            self.clear_deadline()
+            self.backends.watcher.setup_opened(self.tunnel_id, line, self.context.clock() - self.began)
             return
         # What none of the words fits is an error: it may have run.
         outcome, report = self._ends(line) or (Outcome.ERROR, None)
@@ -211,21 +211,21 @@
             return None
         return outcome, read_report(rest, self.backends.reader) if rest else None
 
-    def turn_out(self) -> None:
+    def drop_peer(self) -> None:
         if self.opened:
             # The backend still answers, so its client may not be cut off.
-            self.backends.watcher.garbled(self.tunnel_id)
+            self.backends.watcher.backend_lines_malformed(self.tunnel_id)
         else:
-            super().turn_out()
+            super().drop_peer()
 
-    def peer_ended(self, abrupt: bool) -> None:
+    def peer_closed(self, abrupt: bool) -> None:
         if self.opened:
             outcome, report = self.last or (Outcome.RESET, None)
         else:
             outcome, report = (Outcome.RESET if self.written else Outcome.CONNECT_FAILED), None
         self._settle(outcome, report, abrupt)
 
-    def call_off(self, abrupt: bool = False) -> None:
+    def cancel(self, abrupt: bool = False) -> None:
         """Its client has left or was moved: it ends with no word to the watcher."""
         self.over = True
         if self.opened and not abrupt:
@@ -241,10 +241,10 @@
             )
 
 
-class ProbeLink(BackendLink):
+class ProbeConnection(BackendConnection):
     """The connection for one backend's probes, kept while it is used: a new one costs the backend more."""
 
-    def __init__(self, backends: Backends, backend_id: int, address: Address) -> None:
+    def __init__(self, backends: BackendConnector, backend_id: int, address: Address) -> None:
         super().__init__(backends.context, address)
         self.backends = backends
         self.backend_id = backend_id
@@ -262,29 +262,29 @@
         else:
             self.connect(self.backends.connect_within)
 
-    def came_up(self) -> None:
+    def on_connected(self) -> None:
         self._write()
 
     def _write(self) -> None:
         self.asked_at = self.context.clock()
-        self.due_in(self.backends.probe_within, self.turn_out, reads_first=True)
+        self.set_deadline(self.backends.probe_timeout, self.drop_peer, pending_reads_first=True)
         self.send_line(self.backends.probe_word)
 
-    def lines_came(self, lines: list[bytes]) -> None:
+    def lines_received(self, lines: list[bytes]) -> None:
         word, _, rest = lines[0].partition(b" ")
         if len(lines) > 1 or not self.out:
-            self.bad_input("more answers than probes")
+            self.protocol_error("more answers than probes")
             return
         self.kept = True
         report = (read_report(rest, self.backends.reader) if rest else None) or LoadReport()
-        slower = self.backends.paces.slower(self.backend_id, self.context.clock() - self.asked_at)
+        slower = self.backends.probe_latencies.slowdown(self.backend_id, self.context.clock() - self.asked_at)
         if slower > 1 and not self.again:
             # A short pause of the backend looks the same, and is over by then.
             self.again = True
-            self.due_in(ASK_AGAIN, self._write)
+            self.set_deadline(ASK_AGAIN, self._write)
             return
         self.out = self.again = False
-        self.due_in(self.backends.idle_within, self._idle)
+        self.set_deadline(self.backends.idle_timeout, self._idle)
         if slower > 1 and report.offered_load is not None:
             # The report is older than what the probe itself has met.
             report = report._replace(offered_load=report.offered_load * slower)
@@ -294,11 +294,11 @@
         self.backends.forget(self)
         self.finish()
 
-    def turn_out(self) -> None:
+    def drop_peer(self) -> None:
         self.kept = False  # ended from here, for what the backend did or did not say
-        super().turn_out()
+        super().drop_peer()
 
-    def peer_ended(self, abrupt: bool) -> None:
+    def peer_closed(self, abrupt: bool) -> None:
         self.backends.forget(self)
         if not self.out:
             return
@@ -311,31 +311,31 @@
             self.backends.probe_over(self.backend_id, False, LoadReport())
 
 
-class Backends:
+class BackendConnector:
     """Opens setups and probes, and knows the probe connections that are kept."""
 
     def __init__(
         self,
         context: ConnectionContext,
-        watcher: Watcher,
+        watcher: SetupObserver,
         probe_over: ProbeOver,
         reader: ReportReader,
-        paces: Paces,
+        probe_latencies: ProbeLatencies,
         connect_within: int,
-        probe_within: int,
-        idle_within: int,
+        probe_timeout: int,
+        idle_timeout: int,
         probe_word: bytes,
     ) -> None:
         self.context = context
         self.watcher = watcher
         self.probe_over = probe_over
         self.reader = reader
-        self.paces = paces
+        self.probe_latencies = probe_latencies
         self.connect_within = connect_within
-        self.probe_within = probe_within
-        self.idle_within = idle_within
+        self.probe_timeout = probe_timeout
+        self.idle_timeout = idle_timeout
         self.probe_word = probe_word
-        self.probes: dict[int, ProbeLink] = {}
+        self.probes: dict[int, ProbeConnection] = {}
 
     def set_up(
         self,
@@ -345,10 +345,10 @@
         head: Callable[[int], bytes],
         timeout: int,
         connect_within: int,
-    ) -> SetupLink:
-        link = SetupLink(self, tunnel_id, backend_id, address, head, timeout)
+    ) -> SetupConnection:
+        link = SetupConnection(self, tunnel_id, backend_id, address, head, timeout)
         # Where it has no longer than that, its end may be the client's answer.
-        link.connect(min(connect_within, timeout), reads_first=connect_within < timeout)
+        link.connect(min(connect_within, timeout), pending_reads_first=connect_within < timeout)
         return link
 
     def probe(self, backend_id: int, address: Address) -> None:
@@ -359,7 +359,7 @@
             link = None
         if link is None:
             try:
-                link = self.probes[backend_id] = ProbeLink(self, backend_id, address)
+                link = self.probes[backend_id] = ProbeConnection(self, backend_id, address)
             except NoFreeSlotError:
                 # Told later, as the module is in the midst of asking, and as no news: the want of a slot is
                 # this relay's, and the backend may not be called busy for it.
@@ -367,12 +367,12 @@
                 return
         link.ask()
 
-    def no_probes(self, backend_id: int) -> None:
+    def abort_probe(self, backend_id: int) -> None:
         """Not even a second question on a connection that is there."""
         link = self.probes.get(backend_id)
         if link is not None:
-            link.turn_out()
+            link.drop_peer()
 
-    def forget(self, link: ProbeLink) -> None:
+    def forget(self, link: ProbeConnection) -> None:
         if self.probes.get(link.backend_id) is link:
             del self.probes[link.backend_id]
--- a/cedarledge/net/buffers.py
+++ b/cedarledge/net/buffers.py
@@ -7,7 +7,7 @@
     """All buffers are lent out."""
 
 
-class Pool:
+class BufferPool:
     """Lends buffers of one size. A connection has one only while it waits for the rest of a line.
 
     Twisted reads into bytes objects of its own that live until the lines in them are passed on, so what is
@@ -19,7 +19,7 @@
         self.left = most
         self._idle: list[bytearray] = []
 
-    def take(self) -> bytearray:
+    def acquire(self) -> bytearray:
         if self._idle:
             return self._idle.pop()
         if not self.left:
@@ -27,5 +27,5 @@
         self.left -= 1
         return bytearray(self.size)
 
-    def give_back(self, buffer: bytearray) -> None:
+    def release(self, buffer: bytearray) -> None:
         self._idle.append(buffer)
--- a/cedarledge/net/clients.py
+++ b/cedarledge/net/clients.py
@@ -10,8 +10,8 @@
 from cedarledge.net.evicting_listener import EvictingListener
 from cedarledge.net.interfaces import RequestHandler
 from cedarledge.net.invariants import Invariant
+from cedarledge.net.line_connection import ConnectionContext, LineConnection
 from cedarledge.net.lines import parse_finite
-from cedarledge.net.links import ConnectionContext, Link
 from cedarledge.terms import MS
 
 # How long a connection may stand without a whole OPEN: who can't be dealt with is owed an end within 3 s.
@@ -95,7 +95,7 @@
         raise MalformedError(f"not a list of values: {why}") from why
 
 
-class ClientLink(Link):
+class ClientLink(LineConnection):
     """One client's connection: first lines that are no tunnel yet, then the tunnel's client end."""
 
     peer = "client"
@@ -108,27 +108,27 @@
         self.is_open = False
         self.answer_pending = False  # a whole request was read, and no word of an answer said
 
-    def came_up(self) -> None:
+    def on_connected(self) -> None:
         self.listener.mark_waiting(self)
         # From connecting on: half lines and PINGs put nothing off. Where this process was paused the line may
         # lie here unread, and its client is owed an answer.
-        self.due_in(OPEN_LINE_TIMEOUT, self.finish, reads_first=True)
+        self.set_deadline(OPEN_LINE_TIMEOUT, self.finish, pending_reads_first=True)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         if self.tunnel_id >= 0 and not self.is_open and not self.ending:
-            self.bad_input("more before the answer")
+            self.protocol_error("more before the answer")
         else:
             super().dataReceived(data)
             if self.tunnel_id < 0 and self.lines.has_partial_line and not self.ending:
                 self.listener.mark_waiting(self)
 
-    def lines_came(self, lines: list[bytes]) -> None:
+    def lines_received(self, lines: list[bytes]) -> None:
         if self.is_open:
             self.handler.lines_from_client(self.tunnel_id, lines)
         elif len(lines) > 1 or self.lines.has_partial_line:
             # Looked at before the line is dealt with: a backend may not see one of which the client itself
             # makes nonsense.
-            self.bad_input("more before the answer")
+            self.protocol_error("more before the answer")
         elif lines[0] == b"PING":
             # To the system at once: from here on it may be reset to make room.
             self.send_lines([b"ERR" if self.listener.out_of_service else b"PONG"])
@@ -140,22 +140,22 @@
         try:
             open_request = parse_open_request(line)
         except MalformedError as why:
-            self.bad_input(f"{why}: {line[:80]!r}")
+            self.protocol_error(f"{why}: {line[:80]!r}")
             return
-        self.nothing_due()
+        self.clear_deadline()
         self.listener.protect(self)
         self.answer_pending = True
         self.tunnel_id = self.handler.request_arrived(self, open_request)
 
-    def turn_out(self) -> None:
+    def drop_peer(self) -> None:
         if self.is_open:
-            super().turn_out()
+            super().drop_peer()
             return
         if self.tunnel_id >= 0:
             self.handler.client_closed(self.tunnel_id, abrupt=False)
         self.send_error()
 
-    def peer_ended(self, abrupt: bool) -> None:
+    def peer_closed(self, abrupt: bool) -> None:
         self.answer_pending = False  # there is nobody to have it
         if self.tunnel_id >= 0:
             self.handler.client_closed(self.tunnel_id, abrupt)
@@ -163,8 +163,8 @@
     def writeConnectionLost(self) -> None:  # noqa: N802
         self.listener.mark_answered(self)
 
-    def _gone(self) -> None:
-        super()._gone()
+    def _release(self) -> None:
+        super()._release()
         self.listener.forget(self)
         if self.answer_pending:
             self.context.invariants.record_violation(Invariant.CLOSED_UNANSWERED, f"tunnel {self.tunnel_id}")
@@ -208,21 +208,21 @@
 
     def buildProtocol(self, addr: IAddress) -> ClientLink | None:  # noqa: N802
         self.evict_idle()
-        if self.context.links.free <= REFUSAL_FREE_SLOTS:
+        if self.context.connections.free <= REFUSAL_FREE_SLOTS:
             # Refused here by closing; a socket more might be the one that ends the process.
-            self.context.rate_limited_log.about("client", "no slot is left")
+            self.context.rate_limited_log.warn("client", "no slot is left")
             self.paused = True
             self.port.stopReading()
             return None
         return ClientLink(self)
 
-    def forget(self, link: Link) -> None:
+    def forget(self, link: LineConnection) -> None:
         super().forget(link)
         self.slots_freed()
 
     def slots_freed(self) -> None:
         """Slots have come free, here or at the process before."""
-        if self.paused and self.context.links.free > REFUSAL_FREE_SLOTS and self.port.connected:
+        if self.paused and self.context.connections.free > REFUSAL_FREE_SLOTS and self.port.connected:
             self.paused = False
             self._read()
 
--- a/cedarledge/net/config.py
+++ b/cedarledge/net/config.py
@@ -11,12 +11,12 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from cedarledge.net.shortages import NOT_NOW
+from cedarledge.net.transient_errors import TRANSIENT_IO_ERRORS
 from cedarledge.settings import check_settings
 
 Address = tuple[str, int]
 # Of opening and reading a file: it may be read in a moment.
-NOT_READ = NOT_NOW | {errno.EIO}
+NOT_READ = TRANSIENT_IO_ERRORS | {errno.EIO}
 # How often a start tries to read its file, and how far apart in seconds.
 START_READ_ATTEMPTS, READ_AGAIN = 20, 0.05
 
--- a/cedarledge/net/control.py
+++ b/cedarledge/net/control.py
@@ -9,9 +9,9 @@
 from loguru import logger
 from twisted.internet.interfaces import IAddress
 
-from cedarledge.net.buffers import Pool
+from cedarledge.net.buffers import BufferPool
 from cedarledge.net.evicting_listener import ACCEPTS_PER_TURN, EvictingListener
-from cedarledge.net.links import ConnectionContext, Link
+from cedarledge.net.line_connection import ConnectionContext, LineConnection
 from cedarledge.net.service import ServiceState, UnknownBackendError
 from cedarledge.net.slots import SlotTable
 from cedarledge.terms import MS
@@ -116,7 +116,7 @@
         return Call(words[0], words[1].partition("?")[0]), int(length)
 
 
-class CallLink(Link):
+class CallLink(LineConnection):
     """One caller. It has its answer in the event that brings the last byte of its call, or once the other
     process of this relay knows of it."""
 
@@ -127,9 +127,9 @@
         self.control = control
         self.reader = CallReader()
 
-    def came_up(self) -> None:
+    def on_connected(self) -> None:
         self.control.mark_waiting(self)
-        self.due_in(CALL_TIMEOUT, self._too_late, reads_first=True)
+        self.set_deadline(CALL_TIMEOUT, self._too_late, pending_reads_first=True)
 
     def _too_late(self) -> None:
         self.answer(Answer(408, "no whole call in time"))
@@ -141,14 +141,14 @@
         try:
             call = self.reader.feed(data)
         except CallError as why:
-            self.context.rate_limited_log.about(self.peer, str(why))
+            self.context.rate_limited_log.warn(self.peer, str(why))
             self.answer(why.answer)
             return
         if call is None:
             self.control.mark_waiting(self)
         else:
             self.control.protect(self)
-            self.nothing_due()
+            self.clear_deadline()
             self.control.carry_out(call, self.answer)
 
     def answer(self, answer: Answer) -> None:
@@ -161,11 +161,11 @@
         # Only once the answer is written: who makes room is reset, and it would go with that.
         self.control.mark_answered(self)
 
-    def peer_ended(self, abrupt: bool) -> None:
+    def peer_closed(self, abrupt: bool) -> None:
         """It asked for nothing that goes on without it."""
 
-    def _gone(self) -> None:
-        super()._gone()
+    def _release(self) -> None:
+        super()._release()
         self.control.forget(self)
 
 
@@ -175,7 +175,7 @@
     spare_slots = ROOM
 
     def __init__(self, context: ConnectionContext, service: ServiceState, handover: Handover | None) -> None:
-        super().__init__(context._replace(links=SlotTable(MAX_CALLERS), pool=Pool(0, 0)))
+        super().__init__(context._replace(connections=SlotTable(MAX_CALLERS), pool=BufferPool(0, 0)))
         self.service = service
         self.handover = handover  # to another process of this relay, where there can be one
 
@@ -184,7 +184,7 @@
         # After a pause of this process Twisted would take in 24 in its next turn, more than have a place: the
         # first of them would make room for the last before their calls were read.
         self.context.timers.after(0, setattr, self.port, "numberAccepts", ACCEPTS_PER_TURN)
-        return CallLink(self) if self.context.links.free else None
+        return CallLink(self) if self.context.connections.free else None
 
     def carry_out(self, call: Call, answer: Callable[[Answer], None]) -> None:
         *start, last = call.path.split("/")
--- a/cedarledge/net/discovery.py
+++ b/cedarledge/net/discovery.py
@@ -15,8 +15,8 @@
 from twisted.python.failure import Failure
 
 from cedarledge.net.config import Address
-from cedarledge.net.shortages import was_not_tried
 from cedarledge.net.timers import Timer, Timers
+from cedarledge.net.transient_errors import connect_not_attempted
 from cedarledge.terms import MS, SECOND
 
 PATH = "/discovery/hosts"
@@ -175,7 +175,7 @@
         return HttpAnswer(self._status, self._closes, b"".join(self._body))
 
 
-class DiscoveryLink(Protocol):
+class DiscoveryConnection(Protocol):
     """A connection to discovery, for one call at a time."""
 
     transport: Any
@@ -251,7 +251,7 @@
         self._told = told
         self._failed = failed
         self._current = current
-        self._link: DiscoveryLink | None = None
+        self._link: DiscoveryConnection | None = None
         self._call: Deferred | None = None
         self._due: Timer | None = None
         self._asked_at = self._wait = 0
@@ -262,26 +262,26 @@
         if self._call is None:
             self._ask()
 
-    def move_to(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Follows the list at another address from now on, and from the whole list on: whether revisions
         go on there is not known, and a change that neither place tells would be missed for good."""
         if address != self._address:
             self._address = address
-            self.go_on_from(None)
+            self.resume_from(None)
 
     @property
     def revision(self) -> int | None:
         """What is followed from here on; None: nothing that is known."""
         return self._revision
 
-    def go_on_from(self, revision: int | None) -> None:
+    def resume_from(self, revision: int | None) -> None:
         """Another process has followed the list up to there."""
-        self.let_go()
+        self.stop()
         self._revision = revision
         self._was_silent = self._was_lost = False  # what was heard before says nothing of who is asked now
         self._ask()
 
-    def let_go(self) -> None:
+    def stop(self) -> None:
         """Gives back the call and its connection, and tells nobody: the list is not lost."""
         self._timers.cancel(self._due)
         call, self._call = self._call, None
@@ -294,18 +294,18 @@
         self._asked_at = self._timers.now()
         self._wait = int(self._longest * (1 - SHORTER * self._chance()))
         if self._link is None:
-            self._due = self._timers.after_reading(CONNECT_WITHIN, self._hung)
+            self._due = self._timers.after_pending_reads(CONNECT_WITHIN, self._hung)
             endpoint = TCP4ClientEndpoint(self._reactor, *self._address, timeout=None)
-            self._call = connectProtocol(endpoint, DiscoveryLink()).addCallback(self._connected)
+            self._call = connectProtocol(endpoint, DiscoveryConnection()).addCallback(self._connected)
         else:
             self._call = self._connected(self._link)
         self._call.addCallback(self._answered).addErrback(self._lost)
 
-    def _connected(self, link: DiscoveryLink) -> Deferred[HttpAnswer]:
+    def _connected(self, link: DiscoveryConnection) -> Deferred[HttpAnswer]:
         self._link = link
         self._timers.cancel(self._due)
         # The answer may lie unread where this process was paused, and a drain in it counts as told.
-        self._due = self._timers.after_reading(
+        self._due = self._timers.after_pending_reads(
             WHOLE_WITHIN if self._revision is None else self._wait + PATIENCE, self._hung
         )
         target = (
@@ -323,7 +323,7 @@
             # up to 10 s later.
             logger.warning("discovery: the watch is silent, opened anew")
             self._was_silent = True
-            self.let_go()
+            self.stop()
             self._ask()
         elif self._call is not None:
             self._call.cancel()
@@ -360,11 +360,11 @@
 
     def _lost(self, why: Failure) -> None:
         if self._call is None:
-            # By let_go, whose doing this is.
+            # By stop(), whose doing this is.
             return
         self._call = None
-        self.let_go()
-        if was_not_tried(why.value):
+        self.stop()
+        if connect_not_attempted(why.value):
             # This machine lacked something for the connect: discovery was not asked.
             self._due = self._timers.after(AGAIN, self._ask)
             return
--- a/cedarledge/net/evicting_listener.py
+++ b/cedarledge/net/evicting_listener.py
@@ -11,8 +11,8 @@
 from twisted.internet.protocol import ServerFactory
 
 from cedarledge.net.config import Address
-from cedarledge.net.links import ConnectionContext, Link
-from cedarledge.net.shortages import SHORTAGES
+from cedarledge.net.line_connection import ConnectionContext, LineConnection
+from cedarledge.net.transient_errors import RESOURCE_ERRORS
 
 # Twisted takes in up to 20 more at a time than it is told to, and they fit into the room that is kept: a
 # place comes free only after them.
@@ -36,9 +36,9 @@
         self.context = context
         self.port: Any = None
         # Each in the order in which they came to be there.
-        self.answered: dict[Link, None] = {}  # all is said, and the peer has not ended its side
-        self.waiting: dict[Link, None] = {}  # no whole call has come
-        self.evicted: set[Link] = set()  # made to leave, their slots about to come free
+        self.answered: dict[LineConnection, None] = {}  # all is said, and the peer has not ended its side
+        self.waiting: dict[LineConnection, None] = {}  # no whole call has come
+        self.evicted: set[LineConnection] = set()  # made to leave, their slots about to come free
 
     def open(self, address: Address, inherited: int | None = None) -> None:
         """On a socket of its own, or on the one that this process inherited by that descriptor."""
@@ -57,7 +57,7 @@
                 return self.context.reactor.listenTCP(port, self, backlog=BACKLOG, interface=host)
             except (CannotListenError, OSError) as why:
                 system = why.socketError if isinstance(why, CannotListenError) else why
-                if getattr(system, "errno", None) not in SHORTAGES:
+                if getattr(system, "errno", None) not in RESOURCE_ERRORS:
                     raise
             time.sleep(LISTEN_AGAIN)
         return self.context.reactor.listenTCP(port, self, backlog=BACKLOG, interface=host)
@@ -66,7 +66,7 @@
         # Twisted would take in a hundred and more before it lets one of those go that make room.
         self.port.numberAccepts = ACCEPTS_PER_TURN
         # A newcomer that becomes a tunnel takes a second slot for its setup, so it may be more than one.
-        while self.context.links.free + len(self.evicted) <= self.spare_slots and (
+        while self.context.connections.free + len(self.evicted) <= self.spare_slots and (
             held := self.answered or self.waiting
         ):
             link = next(iter(held))
@@ -74,19 +74,19 @@
             self.evicted.add(link)
             link.abort()
 
-    def mark_waiting(self, link: Link) -> None:
+    def mark_waiting(self, link: LineConnection) -> None:
         """It has connected, or more of its call has come and not the whole."""
         if link not in self.evicted:
             self.protect(link)
             self.waiting[link] = None
 
-    def mark_answered(self, link: Link) -> None:
+    def mark_answered(self, link: LineConnection) -> None:
         """All is said to it, for now at least."""
         if link not in self.evicted:
             self.protect(link)
             self.answered[link] = None
 
-    def protect(self, link: Link) -> None:
+    def protect(self, link: LineConnection) -> None:
         """It makes room for nobody."""
         self.answered.pop(link, None)
         self.waiting.pop(link, None)
@@ -97,6 +97,6 @@
             if not link.ending:  # or its last answer might go with it
                 link.abort()
 
-    def forget(self, link: Link) -> None:
+    def forget(self, link: LineConnection) -> None:
         self.protect(link)
         self.evicted.discard(link)
--- a/cedarledge/net/handover.py
+++ b/cedarledge/net/handover.py
@@ -25,11 +25,11 @@
 from twisted.python.failure import Failure
 
 from cedarledge.net import learned_state
-from cedarledge.net.backends import Once
-from cedarledge.net.boxlist import BoxList
+from cedarledge.net.backend_registry import BackendRegistry
+from cedarledge.net.backends import SingleProtocolFactory
 from cedarledge.net.discovery import Watch
 from cedarledge.net.interfaces import Frontend
-from cedarledge.net.links import ConnectionContext
+from cedarledge.net.line_connection import ConnectionContext
 from cedarledge.net.service import ServiceState, UnknownBackendError
 from cedarledge.net.timers import Timer
 from cedarledge.net.tunnels import Tunnels
@@ -247,21 +247,21 @@
         folder: Path,
         name: str,
         service: ServiceState,
-        boxes: BoxList,
+        registry: BackendRegistry,
         tunnels: Tunnels,
         listener: Frontend,
-        watching: Watch,
+        watch: Watch,
     ) -> None:
         self.reactor = context.reactor
         self.timers = context.timers
-        self.links = context.links
+        self.connections = context.connections
         self.folder = _short_path(folder)
         self.name = name
         self.service = service
-        self.boxes = boxes
+        self.registry = registry
         self.tunnels = tunnels
         self.listener = listener
-        self.watching = watching
+        self.watch = watch
         self.predecessor: PeerProcess | None = None  # the process that this one took over from
         self.successor: PeerProcess | None = None  # the one that takes over from this one
         self._lease_timer: Timer | None = None
@@ -308,22 +308,22 @@
         logger.info("handover: goes on alone")
 
     def _import_state(self, estate: HandoverState) -> None:
-        backend_ids, shared_now = self.boxes.backend_ids, time.monotonic_ns()
+        backend_ids, shared_now = self.registry.backend_ids, time.monotonic_ns()
         own_offset = self.timers.now() - shared_now
         # The wall clock may have been stepped between the starts of the two.
         shift = 0 if estate.clock_offset is None else own_offset - estate.clock_offset
         if estate.unix_offset is not None:
-            self.boxes.start_times.follow_unix_offset(estate.unix_offset, shared_now)
-        self.boxes.banned = {backend_ids[name]: since + shift for name, since in estate.banned.items()}
-        self.boxes.back = {backend_ids[name]: at + shift for name, at in estate.back.items()}
-        self.boxes.take_in(ListForm.WHOLE, estate.members)
+            self.registry.start_times.adopt_unix_offset(estate.unix_offset, shared_now)
+        self.registry.banned = {backend_ids[name]: since + shift for name, since in estate.banned.items()}
+        self.registry.readmitted = {backend_ids[name]: at + shift for name, at in estate.back.items()}
+        self.registry.apply_list(ListForm.WHOLE, estate.members)
         learned_state.import_state(
-            self.boxes.policy_host.balancer, self.boxes.kinds, estate.beliefs, self.timers.now()
+            self.registry.policy_host.balancer, self.registry.host_types, estate.beliefs, self.timers.now()
         )
-        self.watching.go_on_from(estate.revision)
+        self.watch.resume_from(estate.revision)
         self.tunnels.predecessor_ids = frozenset(estate.ids)
         self.tunnels.saw_new_request = True
-        self.links.reserved = estate.held
+        self.connections.reserved = estate.held
         if estate.away:
             self.service.leave_service()
 
@@ -334,7 +334,9 @@
         try:
             self.predecessor = PeerProcess(self)
             self.service.taking_over = True
-            self.reactor.adoptStreamConnection(link.fileno(), socket.AF_UNIX, Once(self.predecessor))
+            self.reactor.adoptStreamConnection(
+                link.fileno(), socket.AF_UNIX, SingleProtocolFactory(self.predecessor)
+            )
         finally:
             link.close()  # the reactor has its own
         # After what is left: that is followed first.
@@ -343,7 +345,7 @@
     def _abandon(self) -> None:
         before, self.predecessor = self.predecessor, None
         self.service.taking_over = False
-        self.links.reserved = 0
+        self.connections.reserved = 0
         self.tunnels.predecessor_ids = frozenset()
         before.transport.abortConnection()
 
@@ -372,7 +374,7 @@
 
     def _set_lent(self, held: int) -> None:
         # A listener that stopped for want of room hears of no connection of its own that has gone.
-        self.links.reserved = held
+        self.connections.reserved = held
         self.listener.slots_freed()
 
     def _takeover_requested(self, peer: PeerProcess, told: dict[str, Any]) -> None:
@@ -387,25 +389,27 @@
         self.successor = peer
         self.listener.pause_accepting()
         # The other's word that it has taken over may lie unread where this process was paused.
-        self._lease_timer = self.timers.after_reading(LEASE, self._lease_expired, peer)
-        names, shared_now = self.boxes.backend_ids.names, time.monotonic_ns()
+        self._lease_timer = self.timers.after_pending_reads(LEASE, self._lease_expired, peer)
+        names, shared_now = self.registry.backend_ids.names, time.monotonic_ns()
         estate = HandoverState(
             shared_now + LEASE,
-            self.watching.revision,
-            list(self.boxes.listed.values()),
-            {names[backend_id]: since for backend_id, since in self.boxes.banned.items()},
-            {names[backend_id]: at for backend_id, at in self.boxes.back.items()},
+            self.watch.revision,
+            list(self.registry.entries.values()),
+            {names[backend_id]: since for backend_id, since in self.registry.banned.items()},
+            {names[backend_id]: at for backend_id, at in self.registry.readmitted.items()},
             self.listener.out_of_service,
             sorted(self.tunnels.ids),
             self._descriptors_held(),
-            learned_state.export_state(self.boxes.policy_host.balancer, self.boxes.kinds, self.timers.now()),
+            learned_state.export_state(
+                self.registry.policy_host.balancer, self.registry.host_types, self.timers.now()
+            ),
             self.timers.now() - shared_now,
-            self.boxes.start_times.unix_offset(shared_now),
+            self.registry.start_times.unix_offset(shared_now),
         )
         peer.send(version=VERSION, estate=estate._asdict())
 
     def _descriptors_held(self) -> int:
-        return len(os.listdir("/proc/self/fd")) + self.links.reserved
+        return len(os.listdir("/proc/self/fd")) + self.connections.reserved
 
     def _lease_expired(self, peer: PeerProcess) -> None:
         logger.warning("handover: the new process did not take over in time")
@@ -454,7 +458,7 @@
         call = next(self._call_numbers)
         self._unacknowledged[call] = (
             peer,
-            self.timers.after_reading(ACKNOWLEDGE_WITHIN, self._acknowledgement_late, call),
+            self.timers.after_pending_reads(ACKNOWLEDGE_WITHIN, self._acknowledgement_late, call),
             then,
         )
         peer.send(do=what, name=name, call=call)
--- a/cedarledge/net/interfaces.py
+++ b/cedarledge/net/interfaces.py
@@ -5,8 +5,8 @@
 - An *observer* is notified of events and can neither delay nor break the relay (`observers.Observers` ensures
   that). `eventlog.EventLog` is one.
 - *External facts* of other subsystems reach the balancer as the plain values of `terms.ExternalView`, set
-  through `policy_host.RelayPolicyHost.update_external_view`. `boxlist.BoxList.set_aside` does so for the
-  operator file.
+  through `policy_host.RelayPolicyHost.update_external_view`. `backend_registry.BackendRegistry.set_excluded`
+  does so for the operator file.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
         """Resets the connection."""
         ...
 
-    def bad_input(self, why: str) -> None:
+    def protocol_error(self, why: str) -> None:
         """Ends a connection that violates the protocol; `why` is logged."""
         ...
 
--- a/cedarledge/net/links.py
+++ b/cedarledge/net/line_connection.py
@@ -12,13 +12,13 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from cedarledge.net.buffers import NoBufferError, Pool
+from cedarledge.net.buffers import BufferPool, NoBufferError
 from cedarledge.net.invariants import Invariants
 from cedarledge.net.lines import END, MAX_LINE_BYTES, LineBuffer, LineTooLongError
 from cedarledge.net.rate_limited_log import RateLimitedLog
-from cedarledge.net.shortages import NOT_NOW
 from cedarledge.net.slots import SlotTable
 from cedarledge.net.timers import Timer, Timers
+from cedarledge.net.transient_errors import TRANSIENT_IO_ERRORS
 from cedarledge.terms import SECOND
 
 # How long the peer of a connection that was ended may take to read what is left and to end its side.
@@ -35,15 +35,15 @@
     reactor: Any
     clock: Callable[[], int]
     timers: Timers
-    pool: Pool
-    links: SlotTable[Link]
+    pool: BufferPool
+    links: SlotTable[LineConnection]
     rate_limited_log: RateLimitedLog
     invariants: Invariants
 
 
 @implementer(IHalfCloseableProtocol)
-class Link(Protocol):
-    """One connection. It takes its slot when it is made and gives it back in _gone, there alone."""
+class LineConnection(Protocol):
+    """One connection. It takes its slot when it is made and gives it back in _release, there alone."""
 
     transport: Any
     peer = ""  # what the log calls the other side
@@ -54,39 +54,39 @@
         self.deadline: Timer | None = None
         self.up = self.ending = False
         self.unheard = 0  # bytes that came after its end
-        self.slot = context.links.allocate(self)
+        self.slot = context.connections.allocate(self)
 
     # -- what the peers' files fill in -----------------------------------------------------------
 
-    def came_up(self) -> None:
+    def on_connected(self) -> None:
         """The connection stands."""
 
-    def lines_came(self, lines: list[bytes]) -> None:
+    def lines_received(self, lines: list[bytes]) -> None:
         raise NotImplementedError
 
-    def peer_ended(self, abrupt: bool) -> None:
+    def peer_closed(self, abrupt: bool) -> None:
         """The peer, or the network, has ended the connection."""
         raise NotImplementedError
 
-    def turn_out(self) -> None:
+    def drop_peer(self) -> None:
         """Ends a peer that can't be dealt with."""
         self.abort()
-        self.peer_ended(abrupt=True)
+        self.peer_closed(abrupt=True)
 
-    def bad_input(self, why: str) -> None:
+    def protocol_error(self, why: str) -> None:
         """The peer does not keep to the protocol."""
-        self.context.rate_limited_log.about(self.peer, why)
-        self.turn_out()
+        self.context.rate_limited_log.warn(self.peer, why)
+        self.drop_peer()
 
     # -- timers ----------------------------------------------------------------------------------
 
-    def due_in(self, delay: int, call: Callable[[], None], reads_first: bool = False) -> None:
-        """Sets the one timer that a connection has at a time; see Timers.after_reading."""
+    def set_deadline(self, delay: int, call: Callable[[], None], pending_reads_first: bool = False) -> None:
+        """Sets the one timer that a connection has at a time; see Timers.after_pending_reads."""
         timers = self.context.timers
         timers.cancel(self.deadline)
-        self.deadline = (timers.after_reading if reads_first else timers.after)(delay, call)
+        self.deadline = (timers.after_pending_reads if pending_reads_first else timers.after)(delay, call)
 
-    def nothing_due(self) -> None:
+    def clear_deadline(self) -> None:
         self.context.timers.cancel(self.deadline)
         self.deadline = None
 
@@ -105,7 +105,7 @@
             except BlockingIOError:
                 return False
             except OSError as why:
-                if why.errno in NOT_NOW:
+                if why.errno in TRANSIENT_IO_ERRORS:
                     continue  # the system could not say
             return True
         return False
@@ -121,7 +121,7 @@
             try:
                 data = data[transport.socket.send(data) :]
             except OSError as why:
-                if why.errno not in NOT_NOW:
+                if why.errno not in TRANSIENT_IO_ERRORS:
                     # It is broken; the reactor finds out in its own way, and connectionLost says how.
                     return False
         if data:
@@ -140,14 +140,14 @@
             self.transport.resumeProducing()
             self.transport.loseWriteConnection()
             # Where this process is paused right here the last answer has not gone to the system yet.
-            self.due_in(LINGER, self.abort, reads_first=True)
+            self.set_deadline(LINGER, self.abort, pending_reads_first=True)
         else:
             self.abort()
 
     def abort(self) -> None:
         """Ends it now, and resets it."""
         self.ending = True
-        self.nothing_due()
+        self.clear_deadline()
         if self.up:
             self.transport.abortConnection()
 
@@ -158,7 +158,7 @@
         self.transport.setTcpNoDelay(True)
         # Twisted would ask the system for 64 KiB a read; the longest line is a sixteenth of that.
         self.transport.bufferSize = 2 * MAX_LINE_BYTES
-        self.came_up()
+        self.on_connected()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         if self.ending:
@@ -169,31 +169,31 @@
         try:
             lines = self.lines.feed(data)
         except (LineTooLongError, NoBufferError) as why:
-            self.bad_input(str(why))
+            self.protocol_error(str(why))
             return
         if lines:
-            self.lines_came(lines)
+            self.lines_received(lines)
 
     def readConnectionLost(self) -> None:  # noqa: N802
         self._ended_by_peer(abrupt=False)
         self.transport.unregisterProducer()
         self.transport.loseConnection()
-        self.due_in(LINGER, self.abort, reads_first=True)
+        self.set_deadline(LINGER, self.abort, pending_reads_first=True)
 
     def writeConnectionLost(self) -> None:  # noqa: N802
         """Closed by finish; the other half follows."""
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
         self._ended_by_peer(abrupt=reason.check(ConnectionDone) is None)
-        self._gone()
+        self._release()
 
     def _ended_by_peer(self, abrupt: bool) -> None:
         if not self.ending:
             self.ending = True
-            self.peer_ended(abrupt)
+            self.peer_closed(abrupt)
 
-    def _gone(self) -> None:
+    def _release(self) -> None:
         self.up = False
-        self.nothing_due()
+        self.clear_deadline()
         self.lines.close()
-        self.context.links.release(self.slot)
+        self.context.connections.release(self.slot)
--- a/cedarledge/net/lines.py
+++ b/cedarledge/net/lines.py
@@ -4,7 +4,7 @@
 
 import math
 
-from cedarledge.net.buffers import Pool
+from cedarledge.net.buffers import BufferPool
 
 END = b"\r\n"
 MAX_LINE_BYTES = 4096
@@ -36,7 +36,7 @@
 
     __slots__ = ("_buffer", "_held", "_pool")
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: BufferPool) -> None:
         """Takes buffers for incomplete lines from `pool`."""
         self._pool = pool
         self._buffer: bytearray | None = None
@@ -55,7 +55,7 @@
         if len(rest) > BUFFER_SIZE or (lines and max(map(len, lines)) > MAX_LINE_BYTES):
             raise LineTooLongError(f"a line of more than {MAX_LINE_BYTES} bytes")
         if rest:
-            self._buffer = self._pool.take()
+            self._buffer = self._pool.acquire()
             self._buffer[: len(rest)] = rest
             self._held = len(rest)
         return lines
@@ -68,5 +68,5 @@
     def close(self) -> None:
         """Returns the buffer to the pool; nothing else does."""
         if self._buffer is not None:
-            self._pool.give_back(self._buffer)
+            self._pool.release(self._buffer)
             self._buffer = None
--- a/cedarledge/net/policy_host.py
+++ b/cedarledge/net/policy_host.py
@@ -12,8 +12,8 @@
 from cedarledge.terms import DeploymentSettings, ExternalView
 
 if TYPE_CHECKING:
-    from cedarledge.net.backends import Backends
-    from cedarledge.net.boxlist import BoxList
+    from cedarledge.net.backend_registry import BackendRegistry
+    from cedarledge.net.backends import BackendConnector
     from cedarledge.net.discovery import Watch
     from cedarledge.net.tunnels import Tunnels
 
@@ -31,12 +31,14 @@
         self.timers = timers
         self.external_view = ExternalView()
 
-    def connect(self, tunnels: Tunnels, backends: Backends, boxes: BoxList, watching: Watch) -> None:
+    def connect(
+        self, tunnels: Tunnels, backends: BackendConnector, registry: BackendRegistry, watch: Watch
+    ) -> None:
         """Sets the parts of the relay that carry out the balancer's actions."""
         self.tunnels = tunnels
         self.backends = backends
-        self.boxes = boxes
-        self.watching = watching
+        self.registry = registry
+        self.watch = watch
         # Attempts and answers concern one tunnel only and go straight to Tunnels.
         self.attempt, self.reject = tunnels.send, tunnels.decline
         self.close_with_error, self.move = tunnels.close_with_error, tunnels.move
@@ -74,19 +76,19 @@
 
     def probe(self, backend_id: int) -> None:
         """Sends a probe to a backend."""
-        self.backends.probe(backend_id, self.boxes.addresses[backend_id])
+        self.backends.probe(backend_id, self.registry.addresses[backend_id])
 
     def set_timer(self, delay: int, token: int) -> None:
         """Calls the balancer with the token after a delay in ns."""
         # Received data is read first: the balancer takes an expired probe timer for an unanswered probe.
-        self.timers.after_reading(delay, self._on_timer, token)
+        self.timers.after_pending_reads(delay, self._on_timer, token)
 
     def _on_timer(self, token: int) -> None:
         self.call(self.balancer.timer_fired, token)
 
     def request_list(self) -> None:
         """Starts to follow the list of backends."""
-        self.watching.start()
+        self.watch.start()
 
     def log(self, text: str) -> None:
         """Writes a line of the balancer to the log."""
--- a/cedarledge/net/poller.py
+++ b/cedarledge/net/poller.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from cedarledge.net.shortages import SHORTAGES
+from cedarledge.net.transient_errors import RESOURCE_ERRORS
 
 # How long what could not be registered waits at most, in seconds.
 RETRY_WITHIN = 0.01
@@ -64,7 +64,7 @@
                 self._poller.register(descriptor, flags)
                 self._registered.add(descriptor)
         except OSError as why:
-            if why.errno not in SHORTAGES:
+            if why.errno not in RESOURCE_ERRORS:
                 self._registered.discard(descriptor)
                 raise
             self._waiting[descriptor] = flags
--- a/cedarledge/net/paces.py
+++ b/cedarledge/net/probe_latency.py
@@ -8,7 +8,7 @@
 RISE = 1.05
 
 
-class Paces:
+class ProbeLatencies:
     """A backend's report is a second old; how long the probe for it took is not.
 
     A probe that is served beside the tunnels tells of the wait that they have. One served ahead of them
@@ -20,7 +20,7 @@
         self._usual: dict[int, float] = {}
         self._latest: dict[int, float] = {}
 
-    def slower(self, backend_id: int, took: int) -> float:
+    def slowdown(self, backend_id: int, took: int) -> float:
         """How many times its usual time a probe took. Where all are slower the fleet is full, which the
         reports say; a backend counts as slower than the others alone."""
         usual = self._usual.get(backend_id, took)
--- a/cedarledge/net/rate_limited_log.py
+++ b/cedarledge/net/rate_limited_log.py
@@ -11,7 +11,7 @@
 
 # So many lines a peer kind in each span: a peer that is turned away comes again at once, and a line for each
 # of its tries would cost more than turning it away, and hide all else in the log.
-MOST, SPAN = 5, 10 * SECOND
+MAX_LINES, WINDOW = 5, 10 * SECOND
 
 
 class RateLimitedLog:
@@ -21,15 +21,15 @@
         self._timers = timers
         self._counts: dict[str, int] = {}
 
-    def about(self, peer: str, why: str | Callable[[], str]) -> None:
+    def warn(self, peer: str, why: str | Callable[[], str]) -> None:
         """`why` may be a call that gives the text, made only where a line is written."""
         count = self._counts[peer] = self._counts.get(peer, 0) + 1
         if count == 1:
-            self._timers.after(SPAN, self._sum_up, peer)
-        if count <= MOST:
+            self._timers.after(WINDOW, self._sum_up, peer)
+        if count <= MAX_LINES:
             logger.warning("{}: {}", peer, why if isinstance(why, str) else why())
 
     def _sum_up(self, peer: str) -> None:
-        more = self._counts.pop(peer) - MOST
+        more = self._counts.pop(peer) - MAX_LINES
         if more > 0:
-            logger.warning("{}: {} more such lines in {} s", peer, more, SPAN // SECOND)
+            logger.warning("{}: {} more such lines in {} s", peer, more, WINDOW // SECOND)
--- a/cedarledge/net/reactor.py
+++ b/cedarledge/net/reactor.py
@@ -26,7 +26,7 @@
     """Another reactor is installed already, and one process has only one."""
 
 
-class SteadyReactor(EPollReactor):
+class MonotonicReactor(EPollReactor):
     """An epoll reactor that neither the wall clock nor a shortage that passes brings out of step."""
 
     seconds = staticmethod(time.monotonic)
@@ -62,13 +62,13 @@
         return listening
 
 
-def install_reactor() -> SteadyReactor:
+def install_reactor() -> MonotonicReactor:
     """The process's reactor, installed at the first call. Raises WrongReactorError where something has
     imported `twisted.internet.reactor` before, which installs Twisted's default."""
     installed = sys.modules.get(REACTOR_MODULE)
     if installed is None:
-        installed = SteadyReactor()
+        installed = MonotonicReactor()
         installReactor(installed)
-    if not isinstance(installed, SteadyReactor):
+    if not isinstance(installed, MonotonicReactor):
         raise WrongReactorError(f"{type(installed).__name__} is installed, whose waits follow the wall clock")
     return installed
--- a/cedarledge/net/relay.py
+++ b/cedarledge/net/relay.py
@@ -15,21 +15,21 @@
 
 from cedarledge.net import signals
 from cedarledge.net.audit import Audit
-from cedarledge.net.backends import Backends
-from cedarledge.net.boxlist import BoxList
-from cedarledge.net.buffers import Pool
+from cedarledge.net.backend_registry import BackendRegistry
+from cedarledge.net.backends import BackendConnector
+from cedarledge.net.buffers import BufferPool
 from cedarledge.net.clients import RESERVED_SLOTS, Listener
 from cedarledge.net.config import BadConfigError, RelayConfig, TransientConfigError, read_config
 from cedarledge.net.discovery import Watch
-from cedarledge.net.echoes import Delays, Echoes
 from cedarledge.net.interfaces import Frontend, Observer
 from cedarledge.net.invariants import Invariants
+from cedarledge.net.line_connection import ConnectionContext
 from cedarledge.net.lines import BUFFER_SIZE
-from cedarledge.net.links import ConnectionContext
 from cedarledge.net.logs import log_to_stderr, redirect_twisted_log
+from cedarledge.net.message_latency import LatencyReporter, MessageTimers
 from cedarledge.net.observers import Observers
-from cedarledge.net.paces import Paces
 from cedarledge.net.policy_host import MakeBalancer, RelayPolicyHost
+from cedarledge.net.probe_latency import ProbeLatencies
 from cedarledge.net.rate_limited_log import RateLimitedLog
 from cedarledge.net.reactor import install_reactor
 from cedarledge.net.service import ServiceState
@@ -87,7 +87,7 @@
             reactor,
             self.clock,
             self.timers,
-            Pool(BUFFER_SIZE, most),
+            BufferPool(BUFFER_SIZE, most),
             SlotTable(most),
             RateLimitedLog(self.timers),
             Invariants(),
@@ -95,7 +95,7 @@
         self.observers = Observers(self.clock, self.timers)
         self.policy_host = RelayPolicyHost(self.clock, self.timers)
         try:
-            self.boxes = BoxList(self.policy_host, self.observers, settings)
+            self.registry = BackendRegistry(self.policy_host, self.observers, settings)
             # Names may be numbers there; on the wire they are words.
             self.profiles, tenants = (
                 {str(row["name"]): place for place, row in enumerate(settings.get(kind) or ())}
@@ -104,13 +104,13 @@
             # Clients say whole milliseconds.
             waits = [max(MS, int(row["client_timeout"]) * US or LONGEST_STOP) for row in settings["profiles"]]
             # Clients' lines come back at once however slow the backend's messages are; they show hangs alone.
-            facts = deployment_settings(settings, config.seed, self.clock(), self.boxes.zones)._replace(
+            facts = deployment_settings(settings, config.seed, self.clock(), self.registry.zones)._replace(
                 message_delays_known=False
             )
             allowed, reports = settings["allowed"], settings.get("load_report") or {}
             connect_within = int(allowed["connect_timeout"]) * US or LONGEST_STOP  # 0: no limit is told
-            known = self.boxes.known_at_start(config.known["members"])
-            self.watching = Watch(
+            known = self.registry.load_initial(config.known["members"])
+            self.watch = Watch(
                 reactor,
                 self.timers,
                 config.discovery,
@@ -118,14 +118,14 @@
                 facts.list_request_interval,
                 not facts.requests_list,
                 self.policy_host.random,
-                self.boxes.told,
-                self.boxes.lost,
-                self.boxes.start_times.list_current,
+                self.registry.update,
+                self.registry.mark_unavailable,
+                self.registry.start_times.mark_list_current,
             )
             self.tunnels = Tunnels(
                 self.context,
                 self.policy_host,
-                self.boxes,
+                self.registry,
                 self.observers,
                 (most - RESERVED_SLOTS - min(len(known), RESERVED_SLOTS)) // 2,
                 self.profiles,
@@ -135,16 +135,16 @@
                 facts.profiles,
             )
             goals = [row.setup_goal for row in facts.profiles]
-            self.backends = Backends(
+            self.backends = BackendConnector(
                 self.context,
                 self.tunnels,
                 self.probe_ended,
                 ReportReader(settings),
-                Paces((facts.shortest_message_goal or min(goals)) // 5),
+                ProbeLatencies((facts.shortest_message_goal or min(goals)) // 5),
                 connect_within,
                 # A probe that takes longer than the tightest setup may tells nothing good of its backend.
-                probe_within=min(goals),
-                idle_within=int(allowed.get("conn_idle") or 15_000_000) * US,
+                probe_timeout=min(goals),
+                idle_timeout=int(allowed.get("conn_idle") or 15_000_000) * US,
                 probe_word=b"PING" if reports.get("how", "off") == "off" else b"STATS",
             )
             self.stop_within = min(LONGEST_STOP, max(waits))
@@ -152,12 +152,14 @@
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as why:
             raise BadConfigError(f"the settings can't be used: {why!r}") from why
         slow = facts.shortest_message_goal // 3 if tells else 0
-        self.reported, in_lines = (Delays(self.clock, slow, self.message_delayed) for _ in range(2))
-        self.tunnels.connect(self.backends, Echoes(self.clock, self.timers, in_lines, self.tunnels.silent))
-        self.policy_host.connect(self.tunnels, self.backends, self.boxes, self.watching)
+        self.reported, in_lines = (LatencyReporter(self.clock, slow, self.message_delayed) for _ in range(2))
+        self.tunnels.connect(
+            self.backends, MessageTimers(self.clock, self.timers, in_lines, self.tunnels.silent)
+        )
+        self.policy_host.connect(self.tunnels, self.backends, self.registry, self.watch)
         self.frontend: Frontend = Listener(self.context, self.tunnels)
         self.service = ServiceState(
-            self.timers, self.policy_host, self.boxes, self.tunnels, self.backends, self.frontend
+            self.timers, self.policy_host, self.registry, self.tunnels, self.backends, self.frontend
         )
         self.audit = Audit(self.timers, self.tunnels, self.context.invariants)
         self.handover: Handover | None = None
@@ -165,10 +167,10 @@
         self._reload_again: Timer | None = None
         self.listeners: list[Observer] = []
         self.policy_host.start(facts, balancer)
-        self.boxes.take_in(ListForm.RESTORED, config.known["members"])
+        self.registry.apply_list(ListForm.RESTORED, config.known["members"])
         if not facts.requests_list:
             # Where the module is told of changes unasked, it leaves the asking to its host.
-            self.watching.start()
+            self.watch.start()
 
     def open(self, config: RelayConfig) -> None:
         """Raises CannotListenError."""
@@ -181,10 +183,10 @@
                 folder,
                 config.name,
                 self.service,
-                self.boxes,
+                self.registry,
                 self.tunnels,
                 self.frontend,
-                self.watching,
+                self.watch,
             )
         if config.control is not None:
             from cedarledge.net.control import Control
@@ -201,14 +203,14 @@
     # -- what is heard of backends beside their tunnels --------------------------------------------
 
     def message_delayed(self, backend_id: int, delay: int) -> None:
-        logger.debug("a message takes {} ms at {}", delay // MS, self.boxes.backend_ids.names[backend_id])
+        logger.debug("a message takes {} ms at {}", delay // MS, self.registry.backend_ids.names[backend_id])
         self.policy_host.call(self.policy_host.balancer.message_delay_changed, backend_id, delay)
 
     def probe_ended(self, backend_id: int, answered: bool, report: LoadReport) -> None:
-        logger.debug("probe of {}: {}, {}", self.boxes.backend_ids.names[backend_id], answered, report)
+        logger.debug("probe of {}: {}, {}", self.registry.backend_ids.names[backend_id], answered, report)
         if report.service_time is not None:
             # The clients' lines don't tell how long messages take; what a backend says of itself does.
-            self.reported.took(backend_id, int(report.service_time))
+            self.reported.record(backend_id, int(report.service_time))
         self.policy_host.call(self.policy_host.balancer.probe_ended, backend_id, answered, report)
         self.observers.notify("probed", backend_id, answered, report)
 
@@ -229,14 +231,14 @@
             wanted = read_operator_file() if read_operator_file is not None else None
         except TransientConfigError as why:
             # A change told at the new place counts within seconds, whatever this machine lacks.
-            self.context.rate_limited_log.about("configuration", f"tried again: {why}")
+            self.context.rate_limited_log.warn("configuration", f"tried again: {why}")
             self._reload_again = self.timers.after(RELOAD_AGAIN, self.reload, read_operator_file)
             return
         except BadConfigError as why:
             logger.error("the new configuration can't be used, the old one stays: {}", why)
             return
         logger.info("configuration read again: discovery at {}:{}", *config.discovery)
-        self.watching.move_to(config.discovery)
+        self.watch.set_address(config.discovery)
         if wanted is not None:
             self.apply_operator_file(wanted)
 
@@ -251,8 +253,10 @@
         if wanted.log.events:
             from cedarledge.net.eventlog import EventLog
 
-            self.observers.add(EventLog(wanted.log.events, list(self.profiles), self.boxes.backend_ids.names))
-        self.boxes.set_aside(wanted.boxes.aside)
+            self.observers.add(
+                EventLog(wanted.log.events, list(self.profiles), self.registry.backend_ids.names)
+            )
+        self.registry.set_excluded(wanted.boxes.aside)
 
     # -- the end ---------------------------------------------------------------------------------
 
@@ -277,12 +281,12 @@
         self.timers.after(wait, self.policy_host.call, self.policy_host.balancer.drain_started, within)
         # Where this process was paused, connections that came meanwhile wait to be accepted, and lines to be
         # read: looked at first, as the end would reset them without an answer.
-        self.timers.after_reading(STOP_LOOK, self._end_if_empty, self.clock() + newcomers_for)
-        self.timers.after_reading(self.stop_within + KILL_LATER, self._answer_all, LAST_LOOKS)
+        self.timers.after_pending_reads(STOP_LOOK, self._end_if_empty, self.clock() + newcomers_for)
+        self.timers.after_pending_reads(self.stop_within + KILL_LATER, self._answer_all, LAST_LOOKS)
 
     def _end_if_empty(self, earliest: int) -> None:
-        if self.context.links.used > len(self.backends.probes) or self.clock() < earliest:
-            self.timers.after_reading(STOP_LOOK, self._end_if_empty, earliest)
+        if self.context.connections.used > len(self.backends.probes) or self.clock() < earliest:
+            self.timers.after_pending_reads(STOP_LOOK, self._end_if_empty, earliest)
         else:
             self._end()
 
@@ -301,9 +305,9 @@
         if self.ended:
             return
         self.ended = True
-        logger.info("ends, {} connections held", self.context.links.used - len(self.backends.probes))
+        logger.info("ends, {} connections held", self.context.connections.used - len(self.backends.probes))
         self.audit.final_check()
-        self.watching.let_go()
+        self.watch.stop()
         if self.handover is not None:
             self.handover.detach()
         self.context.reactor.stop()
@@ -335,7 +339,7 @@
     logger.info(
         "{} listens, {} backends known, room for {} tunnels",
         config.name,
-        len(relay.boxes.ready),
+        len(relay.registry.ready),
         relay.tunnels.table.capacity,
     )
     if joins is not None and wanted is not None:
--- a/cedarledge/net/service.py
+++ b/cedarledge/net/service.py
@@ -4,8 +4,8 @@
 
 from loguru import logger
 
-from cedarledge.net.backends import Backends
-from cedarledge.net.boxlist import BoxList
+from cedarledge.net.backend_registry import BackendRegistry
+from cedarledge.net.backends import BackendConnector
 from cedarledge.net.interfaces import Frontend
 from cedarledge.net.policy_host import RelayPolicyHost
 from cedarledge.net.timers import Timer, Timers
@@ -28,14 +28,14 @@
         self,
         timers: Timers,
         policy_host: RelayPolicyHost,
-        boxes: BoxList,
+        registry: BackendRegistry,
         tunnels: Tunnels,
-        backends: Backends,
+        backends: BackendConnector,
         frontend: Frontend,
     ) -> None:
         self.timers = timers
         self.policy_host = policy_host
-        self.boxes = boxes
+        self.registry = registry
         self.tunnels = tunnels
         self.backends = backends
         self.frontend = frontend
@@ -62,7 +62,7 @@
         if self.frontend.out_of_service and not self.taking_over:
             # A process that took over from one out of service is what that one's end waits for.
             return "out of service"
-        if not self.boxes.heard and not self.boxes.ready:
+        if not self.registry.has_discovery_list and not self.registry.ready:
             return "no list of backends yet"
         return ""
 
@@ -73,7 +73,7 @@
         logger.info("out of service: {} tunnels are sent away", self.tunnels.table.used)
         if not self.stopping:
             self.policy_host.call(self.policy_host.balancer.drain_started, EMPTY_WITHIN)
-            self._sweep = self.timers.after_reading(ANSWER_ALL_AFTER, self.tunnels.close_all)
+            self._sweep = self.timers.after_pending_reads(ANSWER_ALL_AFTER, self.tunnels.close_all)
 
     def return_to_service(self) -> None:
         if not self.frontend.out_of_service:
@@ -87,14 +87,14 @@
     def take_backend_offline(self, name: str) -> None:
         backend_id = self._known(name)
         # The list's word first: whoever waits for a look at it is then placed elsewhere.
-        self.boxes.ban(backend_id, self.timers.now())
-        self.backends.no_probes(backend_id)
+        self.registry.ban(backend_id, self.timers.now())
+        self.backends.abort_probe(backend_id)
 
     def bring_backend_online(self, name: str) -> None:
-        self.boxes.put_back(self._known(name), self.timers.now())
+        self.registry.unban(self._known(name), self.timers.now())
 
     def _known(self, name: str) -> int:
-        backend_id = self.boxes.known(name)
+        backend_id = self.registry.find(name)
         if backend_id is None:
             raise UnknownBackendError(name)
         return backend_id
--- a/cedarledge/net/start_times.py
+++ b/cedarledge/net/start_times.py
@@ -30,13 +30,13 @@
         self._starts: dict[int, tuple[int, int]] = {}  # of each backend: as it was told, as it was placed
         self._list_current_at: int | None = None
 
-    def begin(self, told: Iterable[int]) -> None:
+    def calibrate(self, told: Iterable[int]) -> None:
         """The first list of this relay has these starts, in Unix time, ns."""
         newest = max(told, default=0)
         if newest > 0:
             self.correction = self._clock() - newest
 
-    def place(self, backend_id: int, told: int) -> int:
+    def on_relay_clock(self, backend_id: int, told: int) -> int:
         """A start told in Unix time, ns, as a time on the relay's clock; 0 stands for long ago. The same
         start stays where it is, since a start that moves is another one."""
         if told <= 0:
@@ -50,12 +50,12 @@
         """How far Unix time, as far as it is known here, stands from a steady clock that reads so, ns."""
         return self._clock() - self.correction - steady_now
 
-    def follow_unix_offset(self, offset: int, steady_now: int) -> None:
+    def adopt_unix_offset(self, offset: int, steady_now: int) -> None:
         """Takes over what another process on this machine knew of Unix time, for starts told before too."""
         self._starts.clear()
         self.correction = self._clock() - steady_now - offset
 
-    def list_current(self) -> None:
+    def mark_list_current(self) -> None:
         """Discovery has just told what there is to tell: what it tells from now on is newer."""
         self._list_current_at = self._clock()
 
--- a/cedarledge/net/timers.py
+++ b/cedarledge/net/timers.py
@@ -30,14 +30,14 @@
 class Timer:
     """A call that is due at a time, unless it is cancelled before."""
 
-    __slots__ = ("args", "at", "call", "order", "reads_first")
+    __slots__ = ("args", "at", "call", "order", "pending_reads_first")
 
     def __init__(self, at: int, order: int, call: Callable[..., None], args: tuple[Any, ...]) -> None:
         self.at = at
         self.order = order
         self.call: Callable[..., None] | None = call
         self.args = args
-        self.reads_first = False
+        self.pending_reads_first = False
 
     def __lt__(self, other: Timer) -> bool:
         return (self.at, self.order) < (other.at, other.order)
@@ -55,7 +55,7 @@
         self._armed: IDelayedCall | None = None
         self._armed_at = 0
         self._is_suspect = False
-        self.stuck: Callable[[int], None] = lambda late: None  # told how late the first is, ns
+        self.on_stuck: Callable[[int], None] = lambda late: None  # told how late the first is, ns
 
     def __len__(self) -> int:
         """How many are to come, the cancelled ones left out."""
@@ -81,17 +81,17 @@
         """A first timer whose call does not come would hold up all others: it is asked for anew."""
         self._is_suspect = False
         if self._armed is armed:
-            self.stuck(self._clock() - self._armed_at)
+            self.on_stuck(self._clock() - self._armed_at)
             armed.cancel()
             self._armed = None
             self._arm()
 
-    def after_reading(self, delay: int, call: Callable[..., None], *args: Any) -> Timer:
+    def after_pending_reads(self, delay: int, call: Callable[..., None], *args: Any) -> Timer:
         """As after, for what gives up waiting for a peer. Where this process itself was late, paused or
         busy, the peer's answer may have come meanwhile and lie unread: the reactor looks at timers first.
         So the call then waits until what has come is read, once."""
         timer = self.after(delay, call, *args)
-        timer.reads_first = True
+        timer.pending_reads_first = True
         return timer
 
     def cancel(self, timer: Timer | None) -> None:
@@ -120,8 +120,8 @@
         now = self._clock()
         while self._heap and self._heap[0].at <= now:
             timer = heappop(self._heap)
-            if timer.reads_first and now - timer.at > LATE and timer.call is not None:
-                timer.reads_first = False
+            if timer.pending_reads_first and now - timer.at > LATE and timer.call is not None:
+                timer.pending_reads_first = False
                 timer.at = now + LOOK_AGAIN
                 heappush(self._heap, timer)
                 continue
--- a/cedarledge/net/shortages.py
+++ b/cedarledge/net/transient_errors.py
@@ -9,13 +9,13 @@
 import errno
 
 # The machine or this process has too little of something.
-SHORTAGES = frozenset((errno.ENOMEM, errno.ENOBUFS, errno.ENOSPC, errno.EMFILE, errno.ENFILE))
+RESOURCE_ERRORS = frozenset((errno.ENOMEM, errno.ENOBUFS, errno.ENOSPC, errno.EMFILE, errno.ENFILE))
 # Of recv and send: nothing was taken or given.
-NOT_NOW = SHORTAGES | {errno.EAGAIN, errno.EINTR}
+TRANSIENT_IO_ERRORS = RESOURCE_ERRORS | {errno.EAGAIN, errno.EINTR}
 # Of connect: no local port or route was to be had, or a signal came first; the address was not tried.
-NOT_TRIED = NOT_NOW | {errno.EADDRNOTAVAIL, errno.ENETUNREACH}
+NOT_ATTEMPTED_ERRORS = TRANSIENT_IO_ERRORS | {errno.EADDRNOTAVAIL, errno.ENETUNREACH}
 # Of accept: also errors that wait on the connection that would have been accepted (accept(2)).
-NOT_ACCEPTED = NOT_NOW | {
+TRANSIENT_ACCEPT_ERRORS = TRANSIENT_IO_ERRORS | {
     errno.ECONNABORTED,
     errno.EPERM,
     errno.EPROTO,
@@ -30,6 +30,6 @@
 }
 
 
-def was_not_tried(error: BaseException) -> bool:
+def connect_not_attempted(error: BaseException) -> bool:
     """Whether a connect failed before its address was tried. `error` is Twisted's, with the system's."""
-    return getattr(error, "osError", None) in NOT_TRIED
+    return getattr(error, "osError", None) in NOT_ATTEMPTED_ERRORS
--- a/cedarledge/net/transports.py
+++ b/cedarledge/net/transports.py
@@ -9,7 +9,7 @@
 from twisted.internet import main, tcp
 from twisted.internet.error import ConnectionDone, ConnectionLost
 
-from cedarledge.net.shortages import NOT_ACCEPTED, NOT_NOW
+from cedarledge.net.transient_errors import TRANSIENT_ACCEPT_ERRORS, TRANSIENT_IO_ERRORS
 
 
 class _PatientConnection:
@@ -23,14 +23,14 @@
         try:
             data = self.socket.recv(self.bufferSize)
         except OSError as why:
-            return None if why.errno in NOT_NOW else main.CONNECTION_LOST
+            return None if why.errno in TRANSIENT_IO_ERRORS else main.CONNECTION_LOST
         return self._dataReceived(data)
 
     def writeSomeData(self, data: bytes) -> int | ConnectionLost:  # noqa: N802
         try:
             return self.socket.send(memoryview(data)[: self.SEND_LIMIT])
         except OSError as why:
-            return 0 if why.errno in NOT_NOW else main.CONNECTION_LOST
+            return 0 if why.errno in TRANSIENT_IO_ERRORS else main.CONNECTION_LOST
 
 
 class Server(_PatientConnection, tcp.Server):
@@ -70,7 +70,7 @@
         try:
             return self._listening.accept()
         except OSError as why:
-            if why.errno not in NOT_ACCEPTED:
+            if why.errno not in TRANSIENT_ACCEPT_ERRORS:
                 raise
             raise BlockingIOError(errno.EAGAIN, "nobody can be accepted now") from why
 
--- a/cedarledge/net/tunnels.py
+++ b/cedarledge/net/tunnels.py
@@ -7,13 +7,13 @@
 
 from loguru import logger
 
-from cedarledge.net.backends import Backends, SetupLink
-from cedarledge.net.boxlist import BoxList
+from cedarledge.net.backend_registry import BackendRegistry
+from cedarledge.net.backends import BackendConnector, SetupConnection
 from cedarledge.net.clients import OpenRequest
-from cedarledge.net.echoes import Echo, Echoes
 from cedarledge.net.interfaces import ClientConnection
+from cedarledge.net.line_connection import ConnectionContext
 from cedarledge.net.lines import parse_finite
-from cedarledge.net.links import ConnectionContext
+from cedarledge.net.message_latency import MessageTimer, MessageTimers
 from cedarledge.net.observers import Observers
 from cedarledge.net.policy_host import RelayPolicyHost
 from cedarledge.net.request_guard import RequestGuard, RequestRecord
@@ -41,9 +41,9 @@
         "began",
         "client",
         "closed",
-        "echo",
         "is_open",
         "known_to_policy",
+        "message_timer",
         "open_request",
         "profile",
         "request",
@@ -69,8 +69,8 @@
             profile,
             began + open_request.client_timeout if open_request.previous_backend is None else 0,
         )
-        self.setup: SetupLink | None = None
-        self.echo: Echo | None = None
+        self.setup: SetupConnection | None = None
+        self.message_timer: MessageTimer | None = None
         self.known_to_policy = False
         self.is_open = self.closed = False
 
@@ -78,14 +78,14 @@
 class Tunnels:
     """All tunnels of a relay, whatever front they came by."""
 
-    backends: Backends
-    echoes: Echoes
+    backends: BackendConnector
+    message_timers: MessageTimers
 
     def __init__(
         self,
         context: ConnectionContext,
         policy_host: RelayPolicyHost,
-        boxes: BoxList,
+        registry: BackendRegistry,
         observers: Observers,
         most: int,
         profiles: Mapping[str, int],
@@ -96,12 +96,12 @@
     ) -> None:
         self.context = context
         self.guard = RequestGuard(
-            context.invariants, context.clock, classes, boxes.listed, boxes.backend_ids.names
+            context.invariants, context.clock, classes, registry.entries, registry.backend_ids.names
         )
         self.clock = context.clock
         self.timers = context.timers
         self.policy_host = policy_host
-        self.boxes = boxes
+        self.registry = registry
         self.observers = observers
         self.table: SlotTable[Tunnel] = SlotTable(most)
         self.ids: set[str] = set()  # of all tunnels here, as their clients named them
@@ -116,9 +116,9 @@
         # another relay is down, and about as many where a backend is.
         self.net_returned_clients = DecayingSum(LATELY)
 
-    def connect(self, backends: Backends, echoes: Echoes) -> None:
+    def connect(self, backends: BackendConnector, message_timers: MessageTimers) -> None:
         self.backends = backends
-        self.echoes = echoes
+        self.message_timers = message_timers
 
     def counts(self) -> str:
         """What became of all requests so far, for the log."""
@@ -128,7 +128,7 @@
 
     def send(self, tunnel_id: int, backend_id: int, timeout: int) -> None:
         if not self.guard.may_attempt(
-            self.table.get(tunnel_id).request, backend_id, backend_id in self.boxes.ready
+            self.table.get(tunnel_id).request, backend_id, backend_id in self.registry.ready
         ):
             self._not_sent(tunnel_id, backend_id)
             return
@@ -146,7 +146,7 @@
             tunnel.setup = self.backends.set_up(
                 tunnel_id,
                 backend_id,
-                self.boxes.addresses[backend_id],
+                self.registry.addresses[backend_id],
                 tunnel.open_request.line_for_backend,
                 timeout,
                 connect_within,
@@ -160,13 +160,13 @@
             self.close_with_error(tunnel_id)
             return
         tunnel.client.reject(come_back)
-        self.context.rate_limited_log.about("rejected", lambda: self.guard.describe(tunnel.request))
+        self.context.rate_limited_log.warn("rejected", lambda: self.guard.describe(tunnel.request))
         self._answered(tunnel_id, True)
 
     def close_with_error(self, tunnel_id: int) -> None:
         tunnel = self.table.get(tunnel_id)
         tunnel.client.send_error()
-        self.context.rate_limited_log.about("failed", lambda: self.guard.describe(tunnel.request))
+        self.context.rate_limited_log.warn("failed", lambda: self.guard.describe(tunnel.request))
         self._answered(tunnel_id, False)
 
     def move(self, tunnel_id: int) -> None:
@@ -174,13 +174,15 @@
         if tunnel is None or tunnel.closed or not tunnel.is_open:
             return
         setup = tunnel.setup
-        logger.debug("tunnel {} is moved off {}", tunnel_id, self.boxes.backend_ids.names[setup.backend_id])
+        logger.debug(
+            "tunnel {} is moved off {}", tunnel_id, self.registry.backend_ids.names[setup.backend_id]
+        )
         self.net_returned_clients.add(self.clock(), -1)
         self._counts["moved"] += 1
         self._part(tunnel)
         tunnel.request.attempt_ended(Outcome.CANCELLED)
         tunnel.client.send_move()
-        setup.call_off()
+        setup.cancel()
         self.observers.notify("moved", tunnel_id, setup.backend_id)
         # The module is in the midst of moving, so it hears of the end afterwards.
         self.timers.after(0, self._moved, tunnel_id, setup.backend_id, self.clock() - setup.began)
@@ -192,25 +194,25 @@
             profile = self.profiles[open_request.profile]
             tenant = None if open_request.tenant is None else self.tenants[open_request.tenant]
         except KeyError as why:
-            client.bad_input(f"nothing is called {why}")
+            client.protocol_error(f"nothing is called {why}")
             return -1
         if (
             open_request.previous_backend is None
             and open_request.client_timeout > LONGER * self.waits[profile]
         ):
-            client.bad_input(
+            client.protocol_error(
                 f"{open_request.profile} does not wait for {open_request.client_timeout // MS} ms"
             )
             return -1
         if open_request.id in self.ids or open_request.id in self.predecessor_ids:
             # Two of one id would be told apart by nobody behind this relay, and the first is the one served.
-            client.bad_input(f"{open_request.id[:40]} is open already")
+            client.protocol_error(f"{open_request.id[:40]} is open already")
             return -1
         tunnel = Tunnel(client, open_request, profile, tenant, self.clock())
         try:
             tunnel_id = self.table.allocate(tunnel)
         except NoFreeSlotError:
-            self.context.rate_limited_log.about("client", "no slot is left for a tunnel")
+            self.context.rate_limited_log.warn("client", "no slot is left for a tunnel")
             client.reject(0)
             return -1
         self.ids.add(open_request.id)
@@ -241,7 +243,7 @@
         if tunnel is None or tunnel.closed:
             return
         tunnel.setup.send_lines(lines)
-        tunnel.echo.asked()
+        tunnel.message_timer.line_sent()
 
     def client_closed(self, tunnel_id: int, abrupt: bool) -> None:
         tunnel = self.table.get(tunnel_id)
@@ -253,7 +255,7 @@
         if tunnel.known_to_policy and not was_up:
             self.policy_host.call(self.policy_host.balancer.client_gone, tunnel_id)
         if setup is not None:
-            setup.call_off(abrupt)
+            setup.cancel(abrupt)
             outcome = Outcome.CANCELLED if setup.written else Outcome.NOT_SENT
             tunnel.request.attempt_ended(outcome)
             if tunnel.known_to_policy:
@@ -276,12 +278,12 @@
         if tunnel is None or tunnel.closed:
             return
         age = self.clock() - tunnel.began
-        backend_id = self.boxes.backend_ids.get(tunnel.open_request.previous_backend)
-        if age >= ADOPT_WITHIN or backend_id in self.boxes.banned:
+        backend_id = self.registry.backend_ids.get(tunnel.open_request.previous_backend)
+        if age >= ADOPT_WITHIN or backend_id in self.registry.banned:
             self.close_with_error(tunnel_id)
-        elif backend_id in self.boxes.addresses:
+        elif backend_id in self.registry.addresses:
             self._set_up(tunnel_id, backend_id, ADOPT_WITHIN - age, ADOPT_CONNECT_WITHIN)
-        elif self.boxes.heard or age > UNKNOWN_FOR:
+        elif self.registry.has_discovery_list or age > UNKNOWN_FOR:
             # Nobody has such a backend. It may only be new since this relay's list was made.
             self.close_with_error(tunnel_id)
         else:
@@ -298,11 +300,11 @@
         tunnel = self.table.get(tunnel_id)
         return (
             tunnel is not None
-            and backend_id not in self.boxes.banned
-            and (backend_id in self.boxes.ready or not tunnel.known_to_policy)
+            and backend_id not in self.registry.banned
+            and (backend_id in self.registry.ready or not tunnel.known_to_policy)
         )
 
-    def client_waits(self, tunnel_id: int) -> int:
+    def client_time_left(self, tunnel_id: int) -> int:
         """How long the client still waits for its answer, in ns; below 0: no longer."""
         tunnel = self.table.get(tunnel_id)
         return (
@@ -315,19 +317,19 @@
         tunnel = self.table.get(tunnel_id)
         return tunnel is None or tunnel.client.peer_has_left()
 
-    def setup_up(self, tunnel_id: int, line: bytes, took: int) -> None:
+    def setup_opened(self, tunnel_id: int, line: bytes, took: int) -> None:
         tunnel = self.table.get(tunnel_id)
         logger.debug(
             "tunnel {} at {}: up after {} ms",
             tunnel_id,
-            self.boxes.backend_ids.names[tunnel.setup.backend_id],
+            self.registry.backend_ids.names[tunnel.setup.backend_id],
             took // MS,
         )
         tunnel.is_open = True
         self._counts["opened"] += 1
         self.guard.record_answer(tunnel.request, "UP")
         setup, client = tunnel.setup, tunnel.client
-        tunnel.echo = Echo(self.echoes, tunnel_id, setup.backend_id)
+        tunnel.message_timer = MessageTimer(self.message_timers, tunnel_id, setup.backend_id)
         client.accept(line)
         # A side that reads slowly holds up the other one's reading, not this relay's memory.
         client.transport.registerProducer(setup.transport, True)
@@ -349,19 +351,19 @@
             )
         self.observers.notify("opened", tunnel_id, setup.backend_id, took)
 
-    def lines_back(self, tunnel_id: int, lines: list[bytes]) -> None:
+    def backend_lines_received(self, tunnel_id: int, lines: list[bytes]) -> None:
         tunnel = self.table.get(tunnel_id)
         if tunnel is None or tunnel.closed:
             return
         tunnel.client.send_lines(lines)
         for line in lines:
             if not line.startswith(b"LOAD "):
-                tunnel.echo.answered()
+                tunnel.message_timer.line_answered()
                 continue
             try:
                 load = parse_finite(line[5:].decode("ascii"))
             except ValueError:
-                self.context.rate_limited_log.about("backend", f"no load: {line[:80]!r}")
+                self.context.rate_limited_log.warn("backend", f"no load: {line[:80]!r}")
                 continue
             self.policy_host.call(self.policy_host.balancer.load_changed, tunnel_id, load)
 
@@ -384,7 +386,7 @@
         logger.debug(
             "tunnel {} at {}: {} after {} ms, up {}",
             tunnel_id,
-            self.boxes.backend_ids.names[backend_id],
+            self.registry.backend_ids.names[backend_id],
             outcome.name,
             took // MS,
             tunnel.is_open,
@@ -418,7 +420,7 @@
         if was_open:
             self._free(tunnel_id)
 
-    def garbled(self, tunnel_id: int) -> None:
+    def backend_lines_malformed(self, tunnel_id: int) -> None:
         """Its backend's lines can't be passed on, so the client is better off elsewhere."""
         self.move(tunnel_id)
 
@@ -446,8 +448,8 @@
         """The tunnel lets go of its setup, and with over of all else but its slot."""
         tunnel.setup = None
         tunnel.closed = tunnel.closed or over
-        if over and tunnel.echo is not None:
-            tunnel.echo.close()
+        if over and tunnel.message_timer is not None:
+            tunnel.message_timer.close()
 
     def _answered(self, tunnel_id: int, declined: bool) -> None:
         """The final answer is out. The module gives it only when no setup is."""
--- a/cedarledge/peers/shell.py
+++ b/cedarledge/peers/shell.py
@@ -41,7 +41,7 @@
         """Schedules a call."""
         ...
 
-    def after_reading(self, delay: int, call: Callable[..., None], *args: Any) -> object:
+    def after_pending_reads(self, delay: int, call: Callable[..., None], *args: Any) -> object:
         """Schedules a call that runs only after input that is ready by then has been read."""
         ...
 
@@ -168,7 +168,7 @@
 
     def set_timer(self, delay: int, token: int) -> None:
         """Calls the machine's `timer_expired` after the delay, once pending datagrams have been read."""
-        self.timers.after_reading(delay, self._timer_expired, token)
+        self.timers.after_pending_reads(delay, self._timer_expired, token)
 
     def _timer_expired(self, token: int) -> None:
         if not self._closed:
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from test_control import call, running
 
-from cedarledge.net.boxlist import BoxList
+from cedarledge.net.backend_registry import BackendRegistry
 from cedarledge.terms import BackendState, ExternalView, Outcome
 
 NAMES = "abcd"
@@ -39,7 +39,7 @@
                 host.now, ExternalView(excluded=excluded)
             ),
         )
-        self.boxes = BoxList(policy_host, SimpleNamespace(notify=lambda *_: None), {"dcs": ["z"]})
+        self.registry = BackendRegistry(policy_host, SimpleNamespace(notify=lambda *_: None), {"dcs": ["z"]})
         self.told(True, *[self.entry(name) for name in NAMES])
 
     def entry(self, name: str, phase: str = "up", started: int = 0) -> dict:
@@ -54,13 +54,13 @@
         }
 
     def told(self, whole: bool, *members: dict) -> None:
-        self.boxes.told(whole, list(members))
+        self.registry.update(whole, list(members))
 
     def ban(self, name: str) -> None:
-        self.boxes.ban(self.boxes.known(name), self.host.now)
+        self.registry.ban(self.registry.find(name), self.host.now)
 
     def put_back(self, name: str) -> None:
-        self.boxes.put_back(self.boxes.known(name), self.host.now)
+        self.registry.unban(self.registry.find(name), self.host.now)
 
 
 @given(
@@ -107,7 +107,7 @@
         elif what == "whole":
             site.told(True, *[site.entry(other) for other in NAMES if other != name])
         elif what == "aside":
-            boxes.set_aside([name])
+            boxes.set_excluded([name])
         elif what == "wait":
             host.run(SECOND)
         else:
@@ -125,7 +125,7 @@
 
 def test_a_ban_on_all_is_followed_where_a_list_of_all_to_set_aside_is_not() -> None:
     site = Listed()
-    site.boxes.set_aside(NAMES)
+    site.boxes.set_excluded(NAMES)
     tun = site.host.arrive()
     assert site.host.sends and not site.host.requests[tun].answered, "a slip, which would close the site"
     for name in NAMES:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -39,11 +39,11 @@
 from test_handover import RestartableRelay
 from twisted.internet.task import Clock
 
-from cedarledge.net.buffers import Pool
+from cedarledge.net.buffers import BufferPool
 from cedarledge.net.control import CALL_TIMEOUT
 from cedarledge.net.handover import ACKNOWLEDGE_WITHIN, Handover
 from cedarledge.net.invariants import Invariants
-from cedarledge.net.links import LINGER, ConnectionContext, Link
+from cedarledge.net.line_connection import LINGER, ConnectionContext, LineConnection
 from cedarledge.net.rate_limited_log import RateLimitedLog
 from cedarledge.net.service import ServiceState
 from cedarledge.net.slots import SlotTable
@@ -533,8 +533,10 @@
         return round(clock.seconds() * SECOND)
 
     timers = Timers(clock, now)
-    link = Link(
-        ConnectionContext(clock, now, timers, Pool(9, 1), SlotTable(1), RateLimitedLog(timers), Invariants())
+    link = LineConnection(
+        ConnectionContext(
+            clock, now, timers, BufferPool(9, 1), SlotTable(1), RateLimitedLog(timers), Invariants()
+        )
     )
     link.transport = Wire()
     link.connectionMade()
@@ -588,9 +590,9 @@
     [
         "tunnels Tunnels request_arrived before",
         "tunnels Tunnels request_arrived after",
-        "backends SetupLink connect after",
-        "backends SetupLink came_up before",
-        "backends SetupLink came_up after",
+        "backends SetupConnection connect after",
+        "backends SetupConnection on_connected before",
+        "backends SetupConnection on_connected after",
     ],
 )
 def test_who_leaves_while_the_process_is_paused_is_not_sent_on(
@@ -616,7 +618,7 @@
 def test_who_says_more_before_its_answer_is_not_sent_on_from_then(leaves: bool, tmp_path: Path) -> None:
     """What it said lay before its end, and hid it: its line went out 0.35 s after it had left."""
     backend = Backend("a")
-    place = "backends SetupLink came_up before"
+    place = "backends SetupConnection on_connected before"
     with SelfStoppingRelay(tmp_path, [backend], place.split(), settings=UNHURRIED) as relay:
         client = asks(relay)
         relay.until_paused()
@@ -944,7 +946,7 @@
     return client, [first, other]
 
 
-WRITTEN = "backends SetupLink resumeProducing after"
+WRITTEN = "backends SetupConnection resumeProducing after"
 
 
 @mark.parametrize("name", ["feed", "bill", "mark"])
@@ -1117,7 +1119,7 @@
     def now() -> int:
         return round(clock.seconds() * SECOND)
 
-    context = SimpleNamespace(reactor=clock, timers=Timers(clock, now), links=None)
+    context = SimpleNamespace(reactor=clock, timers=Timers(clock, now), connections=None)
     handover = Handover(context, tmp_path, "n0", *[None] * 5)
     peer = handover.successor = SimpleNamespace(send=lambda **line: told.append(line))
     for number in (1, 2):
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -63,7 +63,7 @@
 class Client(test_tunnels.Client):
     """One that is no bad client."""
 
-    def bad_input(self, why: str) -> None:
+    def protocol_error(self, why: str) -> None:
         raise AssertionError(why)
 
 
@@ -184,7 +184,7 @@
     told = WHOLE | {"profiles": [row | {"client_timeout": deadline * 1000} for row in WHOLE["profiles"]]}
     relay, reactor = assembled(told, monkeypatch)
     for _ in range(held):
-        relay.context.links.allocate(SimpleNamespace())
+        relay.context.connections.allocate(SimpleNamespace())
     relay.stop()
     killed = min(3.0, deadline / 1000) + 0.7
     spent = 0.0
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -123,7 +123,7 @@
     """As a step back of the wall clock left them: asked for, and never called."""
     reactor, called, stuck = Clock(), [], []
     timers = Timers(reactor, lambda: round(reactor.seconds() * SECOND))
-    timers.stuck = stuck.append
+    timers.on_stuck = stuck.append
     timers.after(100 * MS, called.append, "first")
     reactor.calls[0].time += 3600
     reactor.advance(0.5)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -18,16 +18,16 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from cedarledge.net.backends import Backends
-from cedarledge.net.buffers import NoBufferError, Pool
+from cedarledge.net.backends import BackendConnector
+from cedarledge.net.buffers import BufferPool, NoBufferError
 from cedarledge.net.clients import MAX_LOAD_HINT, MalformedError, parse_open_request
 from cedarledge.net.discovery import HttpError, HttpReader
-from cedarledge.net.echoes import SILENT, Delays, Echo, Echoes
 from cedarledge.net.invariants import Invariants
+from cedarledge.net.line_connection import ConnectionContext
 from cedarledge.net.lines import BUFFER_SIZE, MAX_LINE_BYTES, LineBuffer, LineTooLongError
-from cedarledge.net.links import ConnectionContext
-from cedarledge.net.paces import Paces
-from cedarledge.net.rate_limited_log import MOST, RateLimitedLog
+from cedarledge.net.message_latency import SILENCE_LIMIT, LatencyReporter, MessageTimer, MessageTimers
+from cedarledge.net.probe_latency import ProbeLatencies
+from cedarledge.net.rate_limited_log import MAX_LINES, RateLimitedLog
 from cedarledge.net.slots import NoFreeSlotError, SlotTable
 from cedarledge.net.timers import Timers
 from cedarledge.settings import ReportReader
@@ -53,17 +53,17 @@
 def test_lines_come_out_whole_however_they_are_cut(
     lines: list[bytes], rest: bytes, places: list[int]
 ) -> None:
-    pool = Pool(BUFFER_SIZE, 1)
+    pool = BufferPool(BUFFER_SIZE, 1)
     reader = LineBuffer(pool)
     data = b"".join(line + b"\r\n" for line in lines) + rest
     assert [line for part in cut(data, places) for line in reader.feed(part)] == lines
     reader.close()
-    assert pool.take() is not None, "the buffer was given back"
+    assert pool.acquire() is not None, "the buffer was given back"
 
 
 def test_a_line_of_the_longest_length_passes_and_one_more_does_not() -> None:
     for size in (1, 1000, MAX_LINE_BYTES + 1):
-        reader = LineBuffer(Pool(BUFFER_SIZE, 1))
+        reader = LineBuffer(BufferPool(BUFFER_SIZE, 1))
         data = b"x" * MAX_LINE_BYTES + b"\r\n"
         got = [
             line for start in range(0, len(data), size) for line in reader.feed(data[start : start + size])
@@ -76,12 +76,12 @@
 
 
 def test_buffers_run_out_and_are_used_again() -> None:
-    pool = Pool(8, 2)
-    first, second = pool.take(), pool.take()
+    pool = BufferPool(8, 2)
+    first, second = pool.acquire(), pool.acquire()
     with raises(NoBufferError):
-        pool.take()
-    pool.give_back(second)
-    assert pool.take() is second and first is not second
+        pool.acquire()
+    pool.release(second)
+    assert pool.acquire() is second and first is not second
 
 
 @given(steps=st.lists(st.integers(-3, 4), max_size=60))
@@ -147,12 +147,12 @@
 def test_what_gives_up_on_a_peer_is_put_off_once_where_this_process_was_late_itself() -> None:
     clock, got = Clock(), []
     timers = Timers(clock, lambda: round(clock.seconds() * SECOND))
-    timers.after_reading(SECOND, got.append, "in time")
+    timers.after_pending_reads(SECOND, got.append, "in time")
     clock.advance(1)
     assert got == ["in time"]
-    timers.after_reading(SECOND, got.append, "late")
+    timers.after_pending_reads(SECOND, got.append, "late")
     timers.after(SECOND, got.append, "plain")
-    dropped = timers.after_reading(SECOND, got.append, "answered meanwhile")
+    dropped = timers.after_pending_reads(SECOND, got.append, "answered meanwhile")
     clock.advance(1.5)
     assert got == ["in time", "plain"], "what has come may be read first"
     timers.cancel(dropped)
@@ -167,26 +167,26 @@
         return round(clock.seconds() * SECOND) + SECOND
 
     timers, silent = Timers(clock, now), []
-    echoes = Echoes(now, timers, Delays(now, 0, lambda *_: None), silent.append)
-    lines = [Echo(echoes, tun, 0) for tun in range(3000)]
+    message_timers = MessageTimers(now, timers, LatencyReporter(now, 0, lambda *_: None), silent.append)
+    lines = [MessageTimer(message_timers, tun, 0) for tun in range(3000)]
     for echo in lines:
-        echo.asked()
+        echo.line_sent()
         clock.advance(0.0005)
     assert len(timers) == 1
     for echo in lines[:-2]:
-        echo.answered()
+        echo.line_answered()
     lines[-1].close()
-    clock.advance(SILENT / SECOND)
+    clock.advance(SILENCE_LIMIT / SECOND)
     clock.advance(0.002)  # a leap of the clock is a pause, after which what has come is read first
     assert silent == [2998]
     lines[-2].close()
-    clock.advance(SILENT / SECOND)
+    clock.advance(SILENCE_LIMIT / SECOND)
     clock.advance(0.002)  # a leap of the clock is a pause, after which what has come is read first
     assert not len(timers)
     assert silent == [2998]
 
 
-class Box(StringTransport):
+class FakeTransport(StringTransport):
     dataBuffer, _tempDataBuffer = b"", ()  # noqa: N815
 
     def setTcpNoDelay(self, on: bool) -> None:  # noqa: N802
@@ -209,24 +209,32 @@
 
     timers = Timers(reactor, now)
     context = ConnectionContext(
-        reactor, now, timers, Pool(BUFFER_SIZE, 4), SlotTable(4), RateLimitedLog(timers), Invariants()
+        reactor, now, timers, BufferPool(BUFFER_SIZE, 4), SlotTable(4), RateLimitedLog(timers), Invariants()
     )
     watcher = SimpleNamespace(
         may_send=lambda *_: True,
-        client_waits=lambda _: 2 * SECOND,
+        client_time_left=lambda _: 2 * SECOND,
         client_has_left=lambda _: False,
         setup_over=lambda *args: outcomes.append(args[2]),
     )
-    backends = Backends(
-        context, watcher, lambda *_: None, ReportReader({}), Paces(1), 150 * MS, SECOND, SECOND, b"PING"
+    backends = BackendConnector(
+        context,
+        watcher,
+        lambda *_: None,
+        ReportReader({}),
+        ProbeLatencies(1),
+        150 * MS,
+        SECOND,
+        SECOND,
+        b"PING",
     )
     backends.set_up(0, 0, ("127.0.0.1", 9), lambda _: b"OPEN", 2 * SECOND, 150 * MS)
     return reactor, outcomes
 
 
-def comes_up(reactor: MemoryReactorClock, takes: int = 99) -> tuple[Protocol, Box]:
+def comes_up(reactor: MemoryReactorClock, takes: int = 99) -> tuple[Protocol, FakeTransport]:
     """The system takes so many bytes of the line at once; the rest is the transport's."""
-    link, transport = reactor.tcpClients[0][2].buildProtocol(None), Box()
+    link, transport = reactor.tcpClients[0][2].buildProtocol(None), FakeTransport()
     transport.socket = SimpleNamespace(send=lambda data: transport.write(data[:takes]) or len(data[:takes]))
     link.makeConnection(transport)
     transport.producer.resumeProducing()  # as a socket's does, once it may be written to
@@ -280,14 +288,14 @@
 
     timers = Timers(reactor, now)
     context = ConnectionContext(
-        reactor, now, timers, Pool(BUFFER_SIZE, 4), SlotTable(4), RateLimitedLog(timers), Invariants()
+        reactor, now, timers, BufferPool(BUFFER_SIZE, 4), SlotTable(4), RateLimitedLog(timers), Invariants()
     )
-    backends = Backends(
+    backends = BackendConnector(
         context,
         SimpleNamespace(),
         lambda *args: told.append(args[1]),
         ReportReader({}),
-        Paces(1),
+        ProbeLatencies(1),
         150 * MS,
         SECOND,
         SECOND,
@@ -295,15 +303,15 @@
     )
     for number in range(2):
         backends.probe(0, ("127.0.0.1", 9))
-        link, transport = reactor.tcpClients[number][2].buildProtocol(None), Box()
+        link, transport = reactor.tcpClients[number][2].buildProtocol(None), FakeTransport()
         link.makeConnection(transport)
         link.dataReceived(b"PONG\r\n")
         reactor.advance(1)  # idle for as long as it may be
-        assert transport.disconnecting and context.links.used == 1 + number
+        assert transport.disconnecting and context.connections.used == 1 + number
     # The backend, at the same limit, ends both as they are ended here.
     for _, _, factory, *_ in reactor.tcpClients:
         factory.buildProtocol(None).connectionLost(Failure(ConnectionDone()))
-    assert told == [True, True] and not context.links.used
+    assert told == [True, True] and not context.connections.used
 
 
 CHUNKED = (
@@ -417,27 +425,29 @@
     def tell(ep: int, delay: int) -> None:
         told.append((ep, delay))
 
-    reported = Delays(now, 3 * step, tell)
-    echoes = Echoes(now, Timers(clock, now), Delays(now, 3 * step, tell), silent.append)
+    reported = LatencyReporter(now, 3 * step, tell)
+    message_timers = MessageTimers(
+        now, Timers(clock, now), LatencyReporter(now, 3 * step, tell), silent.append
+    )
     clock.advance(10)
-    echo = Echo(echoes, 5, 3)
-    reported.took(3, SECOND)
-    echo.asked()
-    echo.answered()
+    echo = MessageTimer(message_timers, 5, 3)
+    reported.record(3, SECOND)
+    echo.line_sent()
+    echo.line_answered()
     assert told == [(3, SECOND)], "a quick line does not unsay what a report has said"
     told.clear()
     grown = [3 * step << times for times in range(7)]
     for steps, news in ((2, []), (200, grown), (2, [2 * step])):
-        echo.asked()
+        echo.line_sent()
         for _ in range(steps):
             clock.advance(1 / 128)
-        echo.answered()
+        echo.line_answered()
         assert told == [(3, delay) for delay in news] and not silent
         told.clear()
-    echo.asked()
+    echo.line_sent()
     for _ in range(5 * 128):
         clock.advance(1 / 128)
-        assert bool(silent) == (clock.seconds() - 10 - 204 / 128 >= SILENT / SECOND)
+        assert bool(silent) == (clock.seconds() - 10 - 204 / 128 >= SILENCE_LIMIT / SECOND)
     assert silent == [5]
 
 
@@ -447,22 +457,25 @@
     sink = logger.add(said.append, format="{message}")
     for _ in range(2):
         for number in range(500):
-            rate_limited_log.about("client", f"bad line {number}")
-        rate_limited_log.about("backend", "another kind has lines of its own")
+            rate_limited_log.warn("client", f"bad line {number}")
+        rate_limited_log.warn("backend", "another kind has lines of its own")
         clock.advance(20)
     logger.remove(sink)
-    assert len(said) == 2 * (MOST + 2) and said[MOST + 1] == f"client: {500 - MOST} more such lines in 10 s\n"
+    assert (
+        len(said) == 2 * (MAX_LINES + 2)
+        and said[MAX_LINES + 1] == f"client: {500 - MAX_LINES} more such lines in 10 s\n"
+    )
 
 
 def test_a_backend_is_slower_than_its_usual_and_than_the_others() -> None:
-    paces = Paces(10 * MS)
+    probe_latencies = ProbeLatencies(10 * MS)
     for ep in range(5):
-        assert paces.slower(ep, (2 + ep) * MS) == 1.0
-    assert paces.slower(1, 12 * MS) == 1.0  # within what tells nothing
-    assert 3.5 < paces.slower(1, 13 * MS + MS) < 5
+        assert probe_latencies.slowdown(ep, (2 + ep) * MS) == 1.0
+    assert probe_latencies.slowdown(1, 12 * MS) == 1.0  # within what tells nothing
+    assert 3.5 < probe_latencies.slowdown(1, 13 * MS + MS) < 5
     for ep in (0, 2, 3, 4):
-        paces.slower(ep, 40 * MS)
-    assert paces.slower(1, 45 * MS) < 2  # a full fleet is slow everywhere
+        probe_latencies.slowdown(ep, 40 * MS)
+    assert probe_latencies.slowdown(1, 45 * MS) < 2  # a full fleet is slow everywhere
 
 
 def test_an_opening_as_the_operators_page_shows_it() -> None:
--- a/tests/test_terms_backends.py
+++ b/tests/test_terms_backends.py
@@ -28,7 +28,7 @@
     name: str, goes_on: bool, tmp_path: Path
 ) -> None:
     """Non-idempotent requests may have run there and are not attempted again; the others are. Seen to fail
-    with Outcome.RESET as CONNECT_FAILED in SetupLink.peer_ended."""
+    with Outcome.RESET as CONNECT_FAILED in SetupConnection.peer_closed."""
     other = Backend("b")
     with socket.create_server(("127.0.0.1", 0)) as listener:
         told = other.entry() | {"id": "a", "host_port": "{}:{}".format(*listener.getsockname())}
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -144,8 +144,8 @@
     """The relay is paused at any moment of their requests: unread, waiting for a probe's answer, connecting,
     attempted once or more. All leave meanwhile, and it goes on after 0.1 s. One paused between the look at
     its client and the write, which nothing can bring together, still writes: seen by a trace. With
-    Link.peer_has_left giving False up to 11 were attempted, and fewer than three in some runs: each single
-    step is forced below and in test_crossings.py."""
+    LineConnection.peer_has_left giving False up to 11 were attempted, and fewer than three in some runs: each
+    single step is forced below and in test_crossings.py."""
     draw = random.Random(4)
     backends = [PolledBackend(name, draw) for name in "abc"]
     before_leaving: Counter[str] = Counter()
@@ -172,7 +172,7 @@
 
 
 @mark.parametrize(
-    "place", ["clients OpenRequest line_for_backend after", "backends SetupLink resumeProducing before"]
+    "place", ["clients OpenRequest line_for_backend after", "backends SetupConnection resumeProducing before"]
 )
 def test_who_leaves_right_before_its_line_is_written_is_not_attempted(place: str, tmp_path: Path) -> None:
     """The client was looked at before its line was put together, and a pause between the two hid its end."""
--- a/tests/test_terms_fleet_size.py
+++ b/tests/test_terms_fleet_size.py
@@ -43,7 +43,7 @@
 
 
 def test_a_relay_among_1100_before_1100_backends_starts_and_serves(tmp_path: Path) -> None:
-    """Seen to fail with the list cut to 1,000 entries in BoxList.take_in."""
+    """Seen to fail with the list cut to 1,000 entries in BackendRegistry.apply_list."""
     backends = [Backend(f"process {number}") for number in range(4)]
     entries = entries_of(backends)
     told = {
--- a/tests/test_terms_limits.py
+++ b/tests/test_terms_limits.py
@@ -14,7 +14,7 @@
 from helpers import MS, SECOND, Backend, Client, RelayProgram, wait_until
 from test_control import call, free_address
 from test_crossings import PATIENT
-from test_net import Box
+from test_net import FakeTransport
 from test_terms_discovery import (
     ASK_EVERY_US,
     COUNTS_AFTER,
@@ -26,11 +26,11 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
 
-from cedarledge.net.backends import Backends
-from cedarledge.net.buffers import Pool
+from cedarledge.net.backends import BackendConnector
+from cedarledge.net.buffers import BufferPool
 from cedarledge.net.invariants import Invariants
+from cedarledge.net.line_connection import ConnectionContext
 from cedarledge.net.lines import BUFFER_SIZE
-from cedarledge.net.links import ConnectionContext
 from cedarledge.net.rate_limited_log import RateLimitedLog
 from cedarledge.net.slots import SlotTable
 from cedarledge.net.timers import Timers
@@ -151,10 +151,10 @@
 
     timers = Timers(reactor, now)
     context = ConnectionContext(
-        reactor, now, timers, Pool(BUFFER_SIZE, 4), SlotTable(4), RateLimitedLog(timers), Invariants()
+        reactor, now, timers, BufferPool(BUFFER_SIZE, 4), SlotTable(4), RateLimitedLog(timers), Invariants()
     )
-    slow = SimpleNamespace(slower=lambda *_: 2.0)
-    backends = Backends(
+    slow = SimpleNamespace(slowdown=lambda *_: 2.0)
+    backends = BackendConnector(
         context,
         SimpleNamespace(),
         lambda *told: answered.append(told[1]),
@@ -167,7 +167,7 @@
     )
     backends.probe(0, ("127.0.0.1", 9))
     link = reactor.tcpClients[0][2].buildProtocol(None)
-    link.makeConnection(Box())
+    link.makeConnection(FakeTransport())
     link.dataReceived(b"PONG\r\n")
     link.connectionLost(Failure(ConnectionDone()))
     assert not answered and len(reactor.tcpClients) == 2, "it is asked on a new connection"
--- a/tests/test_terms_start.py
+++ b/tests/test_terms_start.py
@@ -19,7 +19,7 @@
 from pytest import mark
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from cedarledge.net.discovery import DiscoveryLink, Watch
+from cedarledge.net.discovery import DiscoveryConnection, Watch
 from cedarledge.net.timers import Timers
 from cedarledge.policy.balancer import LIST_TOKEN, Balancer
 from cedarledge.terms import ListForm
@@ -98,7 +98,7 @@
     at: float
     number: int
     relay: int
-    link: DiscoveryLink
+    link: DiscoveryConnection
 
 
 class VirtualDiscovery:
@@ -108,8 +108,8 @@
         self.reactor = reactor
         self.up_at = self.free_at = up_at
         self.connects_seen = 0
-        self.open: dict[DiscoveryLink, int] = {}  # by whose relay
-        self.served: set[DiscoveryLink] = set()
+        self.open: dict[DiscoveryConnection, int] = {}  # by whose relay
+        self.served: set[DiscoveryConnection] = set()
         self.calls: list[VirtualCall] = []
         self.numbers = count()
         self.first_served: dict[int, float] = {}  # by relay
@@ -132,7 +132,7 @@
             self.open[link._wrappedProtocol] = port - 1
         self.connects_seen = len(self.reactor.tcpClients)
 
-    def take(self, link: DiscoveryLink, relay: int, request: bytes) -> None:
+    def take(self, link: DiscoveryConnection, relay: int, request: bytes) -> None:
         now = self.reactor.seconds()
         if link in self.served:
             at = now + int(re.search(rb"timeout_ms=(\d+)", request)[1]) / 1000
--- a/tests/test_tunnels.py
+++ b/tests/test_tunnels.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
-from cedarledge.net.boxlist import BoxList
-from cedarledge.net.buffers import Pool
+from cedarledge.net.backend_registry import BackendRegistry
+from cedarledge.net.buffers import BufferPool
 from cedarledge.net.clients import parse_open_request
-from cedarledge.net.echoes import Delays, Echoes
 from cedarledge.net.interfaces import Observer
 from cedarledge.net.invariants import Invariants
-from cedarledge.net.links import ConnectionContext
+from cedarledge.net.line_connection import ConnectionContext
+from cedarledge.net.message_latency import LatencyReporter, MessageTimers
 from cedarledge.net.observers import Observers
 from cedarledge.net.policy_host import RelayPolicyHost
 from cedarledge.net.rate_limited_log import RateLimitedLog
@@ -66,7 +66,7 @@
     def send_lines(self, lines: list[bytes]) -> None:
         assert self.said == ["UP"], "lines on a tunnel that is not open"
 
-    def bad_input(self, why: str) -> None:
+    def protocol_error(self, why: str) -> None:
         self.said.append("ERR")
 
 
@@ -78,7 +78,7 @@
         self.over = False
         self.transport = Transport()
 
-    def call_off(self, abrupt: bool = False) -> None:
+    def cancel(self, abrupt: bool = False) -> None:
         self.over = True
 
     def send_lines(self, lines: list[bytes]) -> None:
@@ -109,7 +109,7 @@
             self.reactor,
             self.now,
             timers,
-            Pool(4097, 50),
+            BufferPool(4097, 50),
             SlotTable(50),
             RateLimitedLog(timers),
             Invariants(),
@@ -118,12 +118,12 @@
         observers = Observers(self.now, timers)
         observers.add(Ear())
         self.policy_host = RelayPolicyHost(self.now, timers)
-        self.boxes = BoxList(self.policy_host, observers, {})
+        self.registry = BackendRegistry(self.policy_host, observers, {})
         profiles = {"a": 0, "b": 1, "c": 2}
         self.tunnels = Tunnels(
             context,
             self.policy_host,
-            self.boxes,
+            self.registry,
             observers,
             MOST,
             profiles,
@@ -133,9 +133,12 @@
             make_settings().profiles,
         )
         self.tunnels.connect(
-            self, Echoes(self.now, timers, Delays(self.now, 0, lambda *_: None), self.tunnels.silent)
+            self,
+            MessageTimers(
+                self.now, timers, LatencyReporter(self.now, 0, lambda *_: None), self.tunnels.silent
+            ),
         )
-        self.policy_host.connect(self.tunnels, self, self.boxes, self)
+        self.policy_host.connect(self.tunnels, self, self.registry, self)
         self.timers = timers
         self.out: dict[int, SetupStub] = {}
         self.clients: list[Client] = []
@@ -143,9 +146,9 @@
         self.policy_host.start(make_settings(start_time=self.now()), Broken if broken else Balancer)
         entries = [list_entry(backend_id, cells=2) for backend_id in range(BOXES)]
         for entry in entries:
-            self.boxes.addresses[self.boxes.backend_ids[f"s-{entry.backend_id}"]] = ("127.0.0.1", 1)
+            self.registry.addresses[self.registry.backend_ids[f"s-{entry.backend_id}"]] = ("127.0.0.1", 1)
         self.listing = {entry.backend_id: entry for entry in entries}
-        self.boxes.changed(ListForm.RESTORED, entries)
+        self.registry.publish(ListForm.RESTORED, entries)
 
     def now(self) -> int:
         return round(self.reactor.seconds() * SECOND) + 1000 * SECOND
@@ -192,9 +195,9 @@
         tunnel_id = self._setup(pick, is_open=False)
         if tunnel_id is not None:
             self.out[tunnel_id].written = True
-            self.tunnels.setup_up(tunnel_id, b"UP r", self.now() - self.out[tunnel_id].began)
+            self.tunnels.setup_opened(tunnel_id, b"UP r", self.now() - self.out[tunnel_id].began)
             self.tunnels.lines_from_client(tunnel_id, [b"m"])
-            self.tunnels.lines_back(tunnel_id, [b"LOAD 0.5", b"LOAD none", b"e"])
+            self.tunnels.backend_lines_received(tunnel_id, [b"LOAD 0.5", b"LOAD none", b"e"])
 
     def fails(self, pick: int, outcome: Outcome) -> None:
         tunnel_id = self._setup(pick, is_open=False)
@@ -221,7 +224,7 @@
     def lists(self, pick: int, standing: BackendState) -> None:
         backend_id = pick % BOXES
         self.listing[backend_id] = self.listing[backend_id]._replace(state=standing)
-        self.boxes.changed(ListForm.CHANGES, [self.listing[backend_id]])
+        self.registry.publish(ListForm.CHANGES, [self.listing[backend_id]])
 
     def reports(self, pick: int, asked: float) -> None:
         self.policy_host.call(
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -262,9 +262,9 @@
     old = StartTimes(lambda: told + HOUR)
     old.correction = HOUR + 2 * SECOND
     new = StartTimes(lambda: told - 5 * HOUR)
-    new.follow_unix_offset(old.unix_offset(shared), shared)
-    age = old._clock() - old.place(1, told - 10 * SECOND)
-    assert new._clock() - new.place(1, told - 10 * SECOND) == age
+    new.adopt_unix_offset(old.unix_offset(shared), shared)
+    age = old._clock() - old.on_relay_clock(1, told - 10 * SECOND)
+    assert new._clock() - new.on_relay_clock(1, told - 10 * SECOND) == age
 
 
 # -- starts of backends, which are told in Unix time -------------------------------------------------
@@ -298,19 +298,19 @@
     def pass_time(self, span: int) -> None:
         """Lets time pass up to the next answer of discovery, which says nothing of starts."""
         self.now += span
-        self.times.list_current()
+        self.times.mark_list_current()
 
 
 def test_starts_are_taken_as_told_where_the_clocks_agree() -> None:
     seen = SeenStarts()
-    assert seen.times.place(0, 0) == 0, "long ago"
-    assert seen.times.place(1, seen.now - HOUR) == seen.now - HOUR, "before the first list"
+    assert seen.times.on_relay_clock(0, 0) == 0, "long ago"
+    assert seen.times.on_relay_clock(1, seen.now - HOUR) == seen.now - HOUR, "before the first list"
     seen.pass_time(3 * SECOND)
-    assert seen.times.place(2, seen.now - SECOND) == seen.now - SECOND
-    assert seen.times.place(1, seen.now - 3 * SECOND - HOUR) == seen.now - 3 * SECOND - HOUR
+    assert seen.times.on_relay_clock(2, seen.now - SECOND) == seen.now - SECOND
+    assert seen.times.on_relay_clock(1, seen.now - 3 * SECOND - HOUR) == seen.now - 3 * SECOND - HOUR
     seen.pass_time(8 * SECOND)
     told = seen.now - 2 * SECOND
-    assert seen.times.place(3, told) == told, "listed late, as discovery may"
+    assert seen.times.on_relay_clock(3, told) == told, "listed late, as discovery may"
 
 
 @mark.parametrize("ahead", [0, HOUR, 20 * SECOND, -HOUR])
@@ -318,14 +318,14 @@
     """Whether the wall clock was stepped before this relay started, nothing tells it yet."""
     seen = SeenStarts()
     newest = seen.now - 3 * SECOND - ahead
-    seen.times.begin([0, newest, newest - 5 * SECOND, newest - HOUR])
-    assert seen.times.place(0, 0) == 0
-    assert seen.times.place(1, newest) == seen.now
-    assert seen.times.place(2, newest - 5 * SECOND) == seen.now - 5 * SECOND
-    assert seen.times.place(3, newest - HOUR) == seen.now - HOUR
+    seen.times.calibrate([0, newest, newest - 5 * SECOND, newest - HOUR])
+    assert seen.times.on_relay_clock(0, 0) == 0
+    assert seen.times.on_relay_clock(1, newest) == seen.now
+    assert seen.times.on_relay_clock(2, newest - 5 * SECOND) == seen.now - 5 * SECOND
+    assert seen.times.on_relay_clock(3, newest - HOUR) == seen.now - HOUR
     seen.pass_time(10 * SECOND)
     true_start = seen.now - SECOND
-    assert true_start <= seen.times.place(4, true_start - ahead) <= seen.now
+    assert true_start <= seen.times.on_relay_clock(4, true_start - ahead) <= seen.now
 
 
 @mark.parametrize("ahead", [HOUR, 20 * SECOND, -HOUR, -SECOND // 5])
@@ -334,21 +334,21 @@
     seen.pass_time(3 * SECOND)
     seen.pass_time(3 * SECOND)
     true_start = seen.now - SECOND
-    placed = seen.times.place(1, true_start - ahead)
+    placed = seen.times.on_relay_clock(1, true_start - ahead)
     assert true_start <= placed <= seen.now, "cold for no shorter than it is"
     seen.pass_time(10 * SECOND)
-    assert seen.times.place(1, true_start - ahead) == placed, "one start stays where it is"
+    assert seen.times.on_relay_clock(1, true_start - ahead) == placed, "one start stays where it is"
     true_start = seen.now - 2 * SECOND
-    assert true_start <= seen.times.place(2, true_start - ahead) <= seen.now
+    assert true_start <= seen.times.on_relay_clock(2, true_start - ahead) <= seen.now
     seen.pass_time(HOUR)
-    assert seen.times.place(3, seen.now - SECOND - ahead) <= seen.now
+    assert seen.times.on_relay_clock(3, seen.now - SECOND - ahead) <= seen.now
 
 
 def test_a_backend_that_is_listed_long_after_its_start_makes_others_cold_once_at_most() -> None:
     seen = SeenStarts()
     seen.pass_time(SECOND)
-    seen.times.place(1, seen.now - HOUR)
+    seen.times.on_relay_clock(1, seen.now - HOUR)
     for backend_id in (2, 3):
         seen.pass_time(SECOND)
         told = seen.now - SECOND // 2
-        assert told <= seen.times.place(backend_id, told) <= seen.now
+        assert told <= seen.times.on_relay_clock(backend_id, told) <= seen.now
