--- a/cedarledge/net/clients.py
+++ b/cedarledge/net/clients.py
@@ -10,8 +10,8 @@
 from cedarledge.net.evicting_listener import EvictingListener
 from cedarledge.net.interfaces import RequestHandler
 from cedarledge.net.invariants import Invariant
+from cedarledge.net.line_connection import ConnectionContext, LineConnection
 from cedarledge.net.lines import parse_finite
-from cedarledge.net.links import ConnectionContext, Link
 from cedarledge.terms import MS
 
 # How long a connection may last without a complete OPEN line. The platform requires that a client that does
@@ -101,7 +101,7 @@
         raise MalformedError(f"invalid list of values: {why}") from why
 
 
-class ClientLineConnection(Link):
+class ClientLineConnection(LineConnection):
     """Connection of one client: PINGs and the OPEN line at first, then the client's end of a tunnel."""
 
     peer = "client"
@@ -115,30 +115,30 @@
         self.is_open = False
         self.answer_pending = False  # a complete request was read and not answered yet
 
-    def came_up(self) -> None:
+    def on_connected(self) -> None:
         """Starts the time limit for the OPEN line."""
         self.listener.mark_waiting(self)
         # Partial lines and PINGs do not extend the limit. Received data is read before the timer runs: after
         # a pause of this process the OPEN line may be there unread, and its client must be answered.
-        self.due_in(OPEN_LINE_TIMEOUT, self.finish, reads_first=True)
+        self.set_deadline(OPEN_LINE_TIMEOUT, self.finish, pending_reads_first=True)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Rejects data that a client sends before its request is answered; passes on the rest."""
         if self.tunnel_id >= 0 and not self.is_open and not self.ending:
-            self.bad_input("more before the answer")
+            self.protocol_error("more before the answer")
         else:
             super().dataReceived(data)
             if self.tunnel_id < 0 and self.lines.has_partial_line and not self.ending:
                 self.listener.mark_waiting(self)
 
-    def lines_came(self, lines: list[bytes]) -> None:
+    def lines_received(self, lines: list[bytes]) -> None:
         """Handles complete lines: tunnel data, PING or OPEN."""
         if self.is_open:
             self.handler.lines_from_client(self.tunnel_id, lines)
         elif len(lines) > 1 or self.lines.has_partial_line:
             # Checked before the line is handled, as a backend must not receive a request that is followed by
             # data that the protocol forbids.
-            self.bad_input("more before the answer")
+            self.protocol_error("more before the answer")
         elif lines[0] == b"PING":
             # Written to the socket at once, as the connection may be evicted (reset) from here on.
             self.send_lines([b"ERR" if self.listener.out_of_service else b"PONG"])
@@ -150,23 +150,23 @@
         try:
             open_request = parse_open_request(line)
         except MalformedError as why:
-            self.bad_input(f"{why}: {line[:80]!r}")
+            self.protocol_error(f"{why}: {line[:80]!r}")
             return
-        self.nothing_due()
+        self.clear_deadline()
         self.listener.protect(self)
         self.answer_pending = True
         self.tunnel_id = self.handler.request_arrived(self, open_request)
 
-    def turn_out(self) -> None:
+    def drop_peer(self) -> None:
         """Ends the connection after bad input, with an error if it is not open."""
         if self.is_open:
-            super().turn_out()
+            super().drop_peer()
             return
         if self.tunnel_id >= 0:
             self.handler.client_closed(self.tunnel_id, abrupt=False)
         self.send_error()
 
-    def peer_ended(self, abrupt: bool) -> None:
+    def peer_closed(self, abrupt: bool) -> None:
         """Handles the end of the connection by the client."""
         self.answer_pending = False  # the client is gone, so no answer is due
         if self.tunnel_id >= 0:
@@ -176,8 +176,8 @@
         """Marks the connection as evictable: all is sent and the sending side is closed."""
         self.listener.mark_answered(self)
 
-    def _gone(self) -> None:
-        super()._gone()
+    def _release(self) -> None:
+        super()._release()
         self.listener.forget(self)
         if self.answer_pending:
             self.context.invariants.record_violation(Invariant.CLOSED_UNANSWERED, f"tunnel {self.tunnel_id}")
@@ -230,22 +230,22 @@
     def buildProtocol(self, addr: IAddress) -> ClientLineConnection | None:  # noqa: N802
         """Returns the protocol of an accepted connection; None closes it."""
         self.evict_idle()
-        if self.context.links.free <= REFUSAL_FREE_SLOTS:
+        if self.context.connections.free <= REFUSAL_FREE_SLOTS:
             # Closed at once: one more open descriptor could exceed the limit at which the process is ended.
-            self.context.rate_limited_log.about("client", "no slot is left")
+            self.context.rate_limited_log.warn("client", "no slot is left")
             self.paused = True
             self.port.stopReading()
             return None
         return ClientLineConnection(self)
 
-    def forget(self, link: Link) -> None:
+    def forget(self, link: LineConnection) -> None:
         """Handles the end of a connection, whose slot is free again."""
         super().forget(link)
         self.slots_freed()
 
     def slots_freed(self) -> None:
         """Resumes accepting after slots were released, here or by the predecessor process."""
-        if self.paused and self.context.links.free > REFUSAL_FREE_SLOTS and self.port.connected:
+        if self.paused and self.context.connections.free > REFUSAL_FREE_SLOTS and self.port.connected:
             self.paused = False
             self._read()
 
--- a/cedarledge/net/relay.py
+++ b/cedarledge/net/relay.py
@@ -15,21 +15,21 @@
 
 from cedarledge.net import signals
 from cedarledge.net.audit import Audit
-from cedarledge.net.backends import Backends
-from cedarledge.net.boxlist import BoxList
-from cedarledge.net.buffers import Pool
+from cedarledge.net.backend_registry import BackendRegistry
+from cedarledge.net.backends import BackendConnector
+from cedarledge.net.buffers import BufferPool
 from cedarledge.net.clients import RESERVED_SLOTS, Listener
 from cedarledge.net.config import BadConfigError, RelayConfig, TransientConfigError, read_config
 from cedarledge.net.discovery import Watch
-from cedarledge.net.echoes import Delays, Echoes
 from cedarledge.net.interfaces import Frontend, Observer
 from cedarledge.net.invariants import Invariants
+from cedarledge.net.line_connection import ConnectionContext
 from cedarledge.net.lines import BUFFER_SIZE
-from cedarledge.net.links import ConnectionContext
 from cedarledge.net.logs import log_to_stderr, redirect_twisted_log
+from cedarledge.net.message_latency import LatencyReporter, MessageTimers
 from cedarledge.net.observers import Observers
-from cedarledge.net.paces import Paces
 from cedarledge.net.policy_host import MakeBalancer, RelayPolicyHost
+from cedarledge.net.probe_latency import ProbeLatencies
 from cedarledge.net.rate_limited_log import RateLimitedLog
 from cedarledge.net.reactor import install_reactor
 from cedarledge.net.service import ServiceState
@@ -93,7 +93,7 @@
             reactor,
             self.clock,
             self.timers,
-            Pool(BUFFER_SIZE, capacity),
+            BufferPool(BUFFER_SIZE, capacity),
             SlotTable(capacity),
             RateLimitedLog(self.timers),
             Invariants(),
@@ -101,7 +101,7 @@
         self.observers = Observers(self.clock, self.timers)
         self.policy_host = RelayPolicyHost(self.clock, self.timers)
         try:
-            self.boxes = BoxList(self.policy_host, self.observers, settings)
+            self.registry = BackendRegistry(self.policy_host, self.observers, settings)
             # Names may be numbers in the settings; in the protocol they are strings.
             self.profiles, tenants = (
                 {str(row["name"]): place for place, row in enumerate(settings.get(kind) or ())}
@@ -113,13 +113,13 @@
             ]
             # Clients' lines come back at once however slow the backend's messages are, so they only reveal
             # backends that hang.
-            deployment = deployment_settings(settings, config.seed, self.clock(), self.boxes.zones)._replace(
-                message_delays_known=False
-            )
+            deployment = deployment_settings(
+                settings, config.seed, self.clock(), self.registry.zones
+            )._replace(message_delays_known=False)
             allowed, reports = settings["allowed"], settings.get("load_report") or {}
             connect_timeout = int(allowed["connect_timeout"]) * US or MAX_STOP_TIME  # 0: no limit is set
-            known = self.boxes.known_at_start(config.known["members"])
-            self.watching = Watch(
+            known = self.registry.load_initial(config.known["members"])
+            self.watch = Watch(
                 reactor,
                 self.timers,
                 config.discovery,
@@ -127,14 +127,14 @@
                 deployment.list_request_interval,
                 not deployment.requests_list,
                 self.policy_host.random,
-                self.boxes.told,
-                self.boxes.lost,
-                self.boxes.start_times.list_current,
+                self.registry.update,
+                self.registry.mark_unavailable,
+                self.registry.start_times.mark_list_current,
             )
             self.tunnels = Tunnels(
                 self.context,
                 self.policy_host,
-                self.boxes,
+                self.registry,
                 self.observers,
                 (capacity - RESERVED_SLOTS - min(len(known), RESERVED_SLOTS)) // 2,
                 self.profiles,
@@ -144,16 +144,16 @@
                 deployment.profiles,
             )
             setup_goals = [row.setup_goal for row in deployment.profiles]
-            self.backends = Backends(
+            self.backends = BackendConnector(
                 self.context,
                 self.tunnels,
                 self.probe_ended,
                 ReportReader(settings),
-                Paces((deployment.shortest_message_goal or min(setup_goals)) // 5),
+                ProbeLatencies((deployment.shortest_message_goal or min(setup_goals)) // 5),
                 connect_timeout,
                 # A probe that takes longer than the shortest setup goal counts as failed.
-                probe_within=min(setup_goals),
-                idle_within=int(allowed.get("conn_idle") or 15_000_000) * US,
+                probe_timeout=min(setup_goals),
+                idle_timeout=int(allowed.get("conn_idle") or 15_000_000) * US,
                 probe_word=b"PING" if reports.get("how", "off") == "off" else b"STATS",
             )
             self.stop_within = min(MAX_STOP_TIME, max(client_timeouts))
@@ -161,12 +161,16 @@
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as why:
             raise BadConfigError(f"the settings can't be used: {why!r}") from why
         slow = deployment.shortest_message_goal // 3 if tells else 0
-        self.reported_delays, line_delays = (Delays(self.clock, slow, self.message_delayed) for _ in range(2))
-        self.tunnels.connect(self.backends, Echoes(self.clock, self.timers, line_delays, self.tunnels.silent))
-        self.policy_host.connect(self.tunnels, self.backends, self.boxes, self.watching)
+        self.reported_delays, line_delays = (
+            LatencyReporter(self.clock, slow, self.message_delayed) for _ in range(2)
+        )
+        self.tunnels.connect(
+            self.backends, MessageTimers(self.clock, self.timers, line_delays, self.tunnels.silent)
+        )
+        self.policy_host.connect(self.tunnels, self.backends, self.registry, self.watch)
         self.frontend: Frontend = Listener(self.context, self.tunnels)
         self.service = ServiceState(
-            self.timers, self.policy_host, self.boxes, self.tunnels, self.backends, self.frontend
+            self.timers, self.policy_host, self.registry, self.tunnels, self.backends, self.frontend
         )
         self.audit = Audit(self.timers, self.tunnels, self.context.invariants)
         self.handover: Handover | None = None
@@ -174,10 +178,10 @@
         self._reload_retry: Timer | None = None
         self.permanent_observers: list[Observer] = []
         self.policy_host.start(deployment, balancer)
-        self.boxes.take_in(ListForm.RESTORED, config.known["members"])
+        self.registry.apply_list(ListForm.RESTORED, config.known["members"])
         if not deployment.requests_list:
             # If the list is pushed, the balancer leaves it to its host to start following it.
-            self.watching.start()
+            self.watch.start()
 
     def open(self, config: RelayConfig) -> None:
         """Takes over from a predecessor process, if there is one, and starts to listen.
@@ -193,10 +197,10 @@
                 folder,
                 config.name,
                 self.service,
-                self.boxes,
+                self.registry,
                 self.tunnels,
                 self.frontend,
-                self.watching,
+                self.watch,
             )
         if config.control is not None:
             from cedarledge.net.control import Control
@@ -214,15 +218,15 @@
 
     def message_delayed(self, backend_id: int, delay: int) -> None:
         """Reports to the balancer how long (ns) a message takes at a backend."""
-        logger.debug("a message takes {} ms at {}", delay // MS, self.boxes.backend_ids.names[backend_id])
+        logger.debug("a message takes {} ms at {}", delay // MS, self.registry.backend_ids.names[backend_id])
         self.policy_host.call(self.policy_host.balancer.message_delay_changed, backend_id, delay)
 
     def probe_ended(self, backend_id: int, answered: bool, report: LoadReport) -> None:
         """Reports the end of a probe to the balancer and the observers."""
-        logger.debug("probe of {}: {}, {}", self.boxes.backend_ids.names[backend_id], answered, report)
+        logger.debug("probe of {}: {}, {}", self.registry.backend_ids.names[backend_id], answered, report)
         if report.service_time is not None:
             # Clients' lines do not show how long messages take; the backend's own report does.
-            self.reported_delays.took(backend_id, int(report.service_time))
+            self.reported_delays.record(backend_id, int(report.service_time))
         self.policy_host.call(self.policy_host.balancer.probe_ended, backend_id, answered, report)
         self.observers.notify("probed", backend_id, answered, report)
 
@@ -246,14 +250,14 @@
         except TransientConfigError as why:
             # Changes of the list at the new address must be known within seconds, even if this machine lacks
             # resources now.
-            self.context.rate_limited_log.about("configuration", f"tried again: {why}")
+            self.context.rate_limited_log.warn("configuration", f"tried again: {why}")
             self._reload_retry = self.timers.after(RELOAD_RETRY_DELAY, self.reload, read_operator_file)
             return
         except BadConfigError as why:
             logger.error("the new configuration can't be used, the old one stays: {}", why)
             return
         logger.info("configuration read again: discovery at {}:{}", *config.discovery)
-        self.watching.move_to(config.discovery)
+        self.watch.set_address(config.discovery)
         if wanted is not None:
             self.apply_operator_file(wanted)
 
@@ -268,8 +272,10 @@
         if wanted.log.events:
             from cedarledge.net.eventlog import EventLog
 
-            self.observers.add(EventLog(wanted.log.events, list(self.profiles), self.boxes.backend_ids.names))
-        self.boxes.set_aside(wanted.boxes.aside)
+            self.observers.add(
+                EventLog(wanted.log.events, list(self.profiles), self.registry.backend_ids.names)
+            )
+        self.registry.set_excluded(wanted.boxes.aside)
 
     # -- the end ---------------------------------------------------------------------------------
 
@@ -299,14 +305,16 @@
         self.timers.after(wait, self.policy_host.call, self.policy_host.balancer.drain_started, within)
         # Received data is read first: after a pause of this process there may be connections to accept and
         # lines to read, which the end of the process would reset without an answer.
-        self.timers.after_reading(
+        self.timers.after_pending_reads(
             STOP_CHECK_INTERVAL, self._end_if_empty, self.clock() + new_connections_time
         )
-        self.timers.after_reading(self.stop_within + EXTRA_STOP_TIME, self._answer_all, FINAL_ANSWER_ROUNDS)
+        self.timers.after_pending_reads(
+            self.stop_within + EXTRA_STOP_TIME, self._answer_all, FINAL_ANSWER_ROUNDS
+        )
 
     def _end_if_empty(self, earliest: int) -> None:
-        if self.context.links.used > len(self.backends.probes) or self.clock() < earliest:
-            self.timers.after_reading(STOP_CHECK_INTERVAL, self._end_if_empty, earliest)
+        if self.context.connections.used > len(self.backends.probes) or self.clock() < earliest:
+            self.timers.after_pending_reads(STOP_CHECK_INTERVAL, self._end_if_empty, earliest)
         else:
             self._end()
 
@@ -327,9 +335,9 @@
         if self.ended:
             return
         self.ended = True
-        logger.info("ends, {} connections open", self.context.links.used - len(self.backends.probes))
+        logger.info("ends, {} connections open", self.context.connections.used - len(self.backends.probes))
         self.audit.final_check()
-        self.watching.let_go()
+        self.watch.stop()
         if self.handover is not None:
             self.handover.detach()
         self.context.reactor.stop()
@@ -363,7 +371,7 @@
     logger.info(
         "{} listens, {} backends known, room for {} tunnels",
         config.name,
-        len(relay.boxes.ready),
+        len(relay.registry.ready),
         relay.tunnels.table.capacity,
     )
     if joins is not None and wanted is not None:
--- a/cedarledge/net/tunnels.py
+++ b/cedarledge/net/tunnels.py
@@ -7,13 +7,13 @@
 
 from loguru import logger
 
-from cedarledge.net.backends import Backends, SetupLink
-from cedarledge.net.boxlist import BoxList
+from cedarledge.net.backend_registry import BackendRegistry
+from cedarledge.net.backends import BackendConnector, SetupConnection
 from cedarledge.net.clients import OpenRequest
-from cedarledge.net.echoes import Echo, Echoes
 from cedarledge.net.interfaces import ClientConnection
+from cedarledge.net.line_connection import ConnectionContext
 from cedarledge.net.lines import parse_finite
-from cedarledge.net.links import ConnectionContext
+from cedarledge.net.message_latency import MessageTimer, MessageTimers
 from cedarledge.net.observers import Observers
 from cedarledge.net.policy_host import RelayPolicyHost
 from cedarledge.net.request_guard import RequestGuard, RequestRecord
@@ -43,9 +43,9 @@
         "began",
         "client",
         "closed",
-        "echo",
         "is_open",
         "known_to_policy",
+        "message_timer",
         "open_request",
         "profile",
         "request",
@@ -72,8 +72,8 @@
             profile,
             began + open_request.client_timeout if open_request.previous_backend is None else 0,
         )
-        self.setup: SetupLink | None = None
-        self.echo: Echo | None = None
+        self.setup: SetupConnection | None = None
+        self.message_timer: MessageTimer | None = None
         self.known_to_policy = False
         self.is_open = self.closed = False
 
@@ -81,18 +81,18 @@
 class Tunnels:
     """All tunnels of a relay.
 
-    Implements interfaces.RequestHandler for the frontend and backends.Watcher for the attempts, and carries
-    out the balancer's actions on requests and connections.
+    Implements interfaces.RequestHandler for the frontend and backends.SetupObserver for the attempts, and
+    carries out the balancer's actions on requests and connections.
     """
 
-    backends: Backends
-    echoes: Echoes
+    backends: BackendConnector
+    message_timers: MessageTimers
 
     def __init__(
         self,
         context: ConnectionContext,
         policy_host: RelayPolicyHost,
-        boxes: BoxList,
+        registry: BackendRegistry,
         observers: Observers,
         capacity: int,
         profiles: Mapping[str, int],
@@ -108,12 +108,12 @@
         """
         self.context = context
         self.guard = RequestGuard(
-            context.invariants, context.clock, classes, boxes.listed, boxes.backend_ids.names
+            context.invariants, context.clock, classes, registry.entries, registry.backend_ids.names
         )
         self.clock = context.clock
         self.timers = context.timers
         self.policy_host = policy_host
-        self.boxes = boxes
+        self.registry = registry
         self.observers = observers
         self.table: SlotTable[Tunnel] = SlotTable(capacity)
         self.ids: set[str] = set()  # request ids of all tunnels, as given by the clients
@@ -130,10 +130,10 @@
         # another relay is down; near zero while a backend is down, as about as many come as leave.
         self.net_returned_clients = DecayingSum(RETURNED_CLIENTS_LIFETIME)
 
-    def connect(self, backends: Backends, echoes: Echoes) -> None:
+    def connect(self, backends: BackendConnector, message_timers: MessageTimers) -> None:
         """Sets the parts that need this object themselves; call it before any request arrives."""
         self.backends = backends
-        self.echoes = echoes
+        self.message_timers = message_timers
 
     def counts(self) -> str:
         """Returns the counters of request outcomes in one line, for the log."""
@@ -147,7 +147,7 @@
         An attempt that would violate an invariant, or finds no free slot, is reported as not sent.
         """
         if not self.guard.may_attempt(
-            self.table.get(tunnel_id).request, backend_id, backend_id in self.boxes.ready
+            self.table.get(tunnel_id).request, backend_id, backend_id in self.registry.ready
         ):
             self._report_not_sent(tunnel_id, backend_id)
             return
@@ -165,7 +165,7 @@
             tunnel.setup = self.backends.set_up(
                 tunnel_id,
                 backend_id,
-                self.boxes.addresses[backend_id],
+                self.registry.addresses[backend_id],
                 tunnel.open_request.line_for_backend,
                 timeout,
                 connect_timeout,
@@ -180,14 +180,14 @@
             self.close_with_error(tunnel_id)
             return
         tunnel.client.reject(retry_after)
-        self.context.rate_limited_log.about("rejected", lambda: self.guard.describe(tunnel.request))
+        self.context.rate_limited_log.warn("rejected", lambda: self.guard.describe(tunnel.request))
         self._finish_answered(tunnel_id, True)
 
     def close_with_error(self, tunnel_id: int) -> None:
         """Answers a request with an error."""
         tunnel = self.table.get(tunnel_id)
         tunnel.client.send_error()
-        self.context.rate_limited_log.about("failed", lambda: self.guard.describe(tunnel.request))
+        self.context.rate_limited_log.warn("failed", lambda: self.guard.describe(tunnel.request))
         self._finish_answered(tunnel_id, False)
 
     def move(self, tunnel_id: int) -> None:
@@ -196,13 +196,13 @@
         if tunnel is None or tunnel.closed or not tunnel.is_open:
             return
         setup = tunnel.setup
-        logger.debug("tunnel {}: moved off {}", tunnel_id, self.boxes.backend_ids.names[setup.backend_id])
+        logger.debug("tunnel {}: moved off {}", tunnel_id, self.registry.backend_ids.names[setup.backend_id])
         self.net_returned_clients.add(self.clock(), -1)
         self._counts["moved"] += 1
         self._detach_attempt(tunnel)
         tunnel.request.attempt_ended(Outcome.CANCELLED)
         tunnel.client.send_move()
-        setup.call_off()
+        setup.cancel()
         self.observers.notify("moved", tunnel_id, setup.backend_id)
         # The balancer is within the call that moves the connection and is told of its end afterwards.
         self.timers.after(0, self._finish_moved, tunnel_id, setup.backend_id, self.clock() - setup.began)
@@ -215,25 +215,25 @@
             profile = self.profiles[open_request.profile]
             tenant = None if open_request.tenant is None else self.tenants[open_request.tenant]
         except KeyError as why:
-            client.bad_input(f"unknown profile or tenant {why}")
+            client.protocol_error(f"unknown profile or tenant {why}")
             return -1
         if (
             open_request.previous_backend is None
             and open_request.client_timeout > MAX_TIMEOUT_FACTOR * self.client_timeouts[profile]
         ):
-            client.bad_input(
+            client.protocol_error(
                 f"{open_request.profile} does not allow a timeout of {open_request.client_timeout // MS} ms"
             )
             return -1
         if open_request.id in self.ids or open_request.id in self.predecessor_ids:
             # Backends could not distinguish two requests of one id; the first one is served.
-            client.bad_input(f"request id {open_request.id[:40]} is in use")
+            client.protocol_error(f"request id {open_request.id[:40]} is in use")
             return -1
         tunnel = Tunnel(client, open_request, profile, tenant, self.clock())
         try:
             tunnel_id = self.table.allocate(tunnel)
         except NoFreeSlotError:
-            self.context.rate_limited_log.about("client", "no slot is left for a tunnel")
+            self.context.rate_limited_log.warn("client", "no slot is left for a tunnel")
             client.reject(0)
             return -1
         self.ids.add(open_request.id)
@@ -265,7 +265,7 @@
         if tunnel is None or tunnel.closed:
             return
         tunnel.setup.send_lines(lines)
-        tunnel.echo.asked()
+        tunnel.message_timer.line_sent()
 
     def client_closed(self, tunnel_id: int, abrupt: bool) -> None:
         """Ends a tunnel whose client has left; the backend's connection is reset if `abrupt`."""
@@ -278,7 +278,7 @@
         if tunnel.known_to_policy and not was_open:
             self.policy_host.call(self.policy_host.balancer.client_gone, tunnel_id)
         if setup is not None:
-            setup.call_off(abrupt)
+            setup.cancel(abrupt)
             outcome = Outcome.CANCELLED if setup.written else Outcome.NOT_SENT
             tunnel.request.attempt_ended(outcome)
             if tunnel.known_to_policy:
@@ -301,12 +301,12 @@
         if tunnel is None or tunnel.closed:
             return
         age = self.clock() - tunnel.began
-        backend_id = self.boxes.backend_ids.get(tunnel.open_request.previous_backend)
-        if age >= ADOPT_TIMEOUT or backend_id in self.boxes.banned:
+        backend_id = self.registry.backend_ids.get(tunnel.open_request.previous_backend)
+        if age >= ADOPT_TIMEOUT or backend_id in self.registry.banned:
             self.close_with_error(tunnel_id)
-        elif backend_id in self.boxes.addresses:
+        elif backend_id in self.registry.addresses:
             self._begin_attempt(tunnel_id, backend_id, ADOPT_TIMEOUT - age, ADOPT_CONNECT_TIMEOUT)
-        elif self.boxes.heard or age > UNKNOWN_BACKEND_TIMEOUT:
+        elif self.registry.has_discovery_list or age > UNKNOWN_BACKEND_TIMEOUT:
             # The list does not contain the backend. Until discovery has answered, it may only be newer than
             # the list that this relay was started with, so the connection waits for a while.
             self.close_with_error(tunnel_id)
@@ -328,11 +328,11 @@
         tunnel = self.table.get(tunnel_id)
         return (
             tunnel is not None
-            and backend_id not in self.boxes.banned
-            and (backend_id in self.boxes.ready or not tunnel.known_to_policy)
+            and backend_id not in self.registry.banned
+            and (backend_id in self.registry.ready or not tunnel.known_to_policy)
         )
 
-    def client_waits(self, tunnel_id: int) -> int:
+    def client_time_left(self, tunnel_id: int) -> int:
         """Returns how long the client still waits for its answer, in ns; below 0 if no longer."""
         tunnel = self.table.get(tunnel_id)
         return (
@@ -346,20 +346,20 @@
         tunnel = self.table.get(tunnel_id)
         return tunnel is None or tunnel.client.peer_has_left()
 
-    def setup_up(self, tunnel_id: int, line: bytes, took: int) -> None:
+    def setup_opened(self, tunnel_id: int, line: bytes, took: int) -> None:
         """Opens the tunnel: the backend accepted with `line`, `took` ns after the attempt began."""
         tunnel = self.table.get(tunnel_id)
         logger.debug(
             "tunnel {} at {}: open after {} ms",
             tunnel_id,
-            self.boxes.backend_ids.names[tunnel.setup.backend_id],
+            self.registry.backend_ids.names[tunnel.setup.backend_id],
             took // MS,
         )
         tunnel.is_open = True
         self._counts["opened"] += 1
         self.guard.record_answer(tunnel.request, "UP")
         setup, client = tunnel.setup, tunnel.client
-        tunnel.echo = Echo(self.echoes, tunnel_id, setup.backend_id)
+        tunnel.message_timer = MessageTimer(self.message_timers, tunnel_id, setup.backend_id)
         client.accept(line)
         # If one side reads slowly, reading from the other one pauses, so that no data piles up here.
         client.transport.registerProducer(setup.transport, True)
@@ -381,7 +381,7 @@
             )
         self.observers.notify("opened", tunnel_id, setup.backend_id, took)
 
-    def lines_back(self, tunnel_id: int, lines: list[bytes]) -> None:
+    def backend_lines_received(self, tunnel_id: int, lines: list[bytes]) -> None:
         """Forwards lines to the client and reads the load in LOAD lines."""
         tunnel = self.table.get(tunnel_id)
         if tunnel is None or tunnel.closed:
@@ -389,12 +389,12 @@
         tunnel.client.send_lines(lines)
         for line in lines:
             if not line.startswith(b"LOAD "):
-                tunnel.echo.answered()
+                tunnel.message_timer.line_answered()
                 continue
             try:
                 load = parse_finite(line[5:].decode("ascii"))
             except ValueError:
-                self.context.rate_limited_log.about("backend", f"invalid load: {line[:80]!r}")
+                self.context.rate_limited_log.warn("backend", f"invalid load: {line[:80]!r}")
                 continue
             self.policy_host.call(self.policy_host.balancer.load_changed, tunnel_id, load)
 
@@ -421,7 +421,7 @@
         logger.debug(
             "tunnel {} at {}: {} after {} ms, open {}",
             tunnel_id,
-            self.boxes.backend_ids.names[backend_id],
+            self.registry.backend_ids.names[backend_id],
             outcome.name,
             took // MS,
             tunnel.is_open,
@@ -456,7 +456,7 @@
         if was_open:
             self._release(tunnel_id)
 
-    def garbled(self, tunnel_id: int) -> None:
+    def backend_lines_malformed(self, tunnel_id: int) -> None:
         """Moves a connection whose backend sends lines that can't be forwarded."""
         self.move(tunnel_id)
 
@@ -485,8 +485,8 @@
         """Drops the tunnel's attempt, and with `over` everything but its slot."""
         tunnel.setup = None
         tunnel.closed = tunnel.closed or over
-        if over and tunnel.echo is not None:
-            tunnel.echo.close()
+        if over and tunnel.message_timer is not None:
+            tunnel.message_timer.close()
 
     def _finish_answered(self, tunnel_id: int, declined: bool) -> None:
         """Ends a tunnel whose final answer was sent.
--- a/tests/stopping_relay.py
+++ b/tests/stopping_relay.py
@@ -1,6 +1,7 @@
 """A relay that pauses itself by SIGSTOP right before or after a call of a method.
 
-Usage: python stopping_relay.py MODULE CLASS METHOD before|after [NUMBER]; NUMBER is that of the call, by default 1.
+Usage: python stopping_relay.py MODULE CLASS METHOD before|after [NUMBER]. NUMBER is that of the call, by
+default 1.
 """
 
 from __future__ import annotations
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -65,7 +65,7 @@
 class Client(test_tunnels.RecordingClient):
     """A client whose input is always valid."""
 
-    def bad_input(self, why: str) -> None:
+    def protocol_error(self, why: str) -> None:
         raise AssertionError(why)
 
 
@@ -198,7 +198,7 @@
     }
     relay, reactor = make_relay(relay_settings, monkeypatch)
     for _ in range(held):
-        relay.context.links.allocate(SimpleNamespace())
+        relay.context.connections.allocate(SimpleNamespace())
     relay.stop()
     killed = min(3.0, deadline / 1000) + 0.7
     spent = 0.0
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -125,7 +125,7 @@
     """Guards against timers that the reactor never calls, as after a step back of the wall clock."""
     reactor, called, stuck = Clock(), [], []
     timers = Timers(reactor, lambda: round(reactor.seconds() * SECOND))
-    timers.stuck = stuck.append
+    timers.on_stuck = stuck.append
     timers.after(100 * MS, called.append, "first")
     reactor.calls[0].time += 3600
     reactor.advance(0.5)
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -147,10 +147,10 @@
     """Clients that leave while the relay is paused, at any stage of their requests.
 
     The requests are unread, waiting for a probe, connecting, or attempted once or more. All clients leave
-    during the pause, and the relay resumes after 0.1 s. If it was paused between the check of a client and the
-    write to the backend, which cannot be made atomic, it still writes; a trace showed this. With
-    Link.peer_has_left always returning False, up to 11 requests were attempted later, and fewer than three in
-    some runs, so each single step is forced below and in test_crossings.py.
+    during the pause, and the relay resumes after 0.1 s. If it was paused between the check of a client and
+    the write to the backend, which cannot be made atomic, it still writes; a trace showed this. With
+    LineConnection.peer_has_left always returning False, up to 11 requests were attempted later, and fewer
+    than three in some runs, so each single step is forced below and in test_crossings.py.
     """
     draw = random.Random(4)
     backends = [PolledBackend(name, draw) for name in "abc"]
@@ -178,7 +178,7 @@
 
 
 @mark.parametrize(
-    "place", ["clients OpenRequest line_for_backend after", "backends SetupLink resumeProducing before"]
+    "place", ["clients OpenRequest line_for_backend after", "backends SetupConnection resumeProducing before"]
 )
 def test_a_client_that_leaves_right_before_the_write_is_not_attempted(place: str, tmp_path: Path) -> None:
     """Guards against a check of the client that happens too early.
