--- a/cedarledge/net/line_connection.py
+++ b/cedarledge/net/line_connection.py
@@ -36,7 +36,7 @@
     clock: Callable[[], int]
     timers: Timers
     pool: BufferPool
-    links: SlotTable[LineConnection]
+    connections: SlotTable[LineConnection]
     rate_limited_log: RateLimitedLog
     invariants: Invariants
 
