--- a/cedarledge/net/relay.py
+++ b/cedarledge/net/relay.py
@@ -132,15 +132,15 @@
                 tenants,
                 waits,
                 connect_within,
-                facts.profiles,
+                facts.request_classes,
             )
-            goals = [row.setup_goal for row in facts.profiles]
+            goals = [row.setup_latency_target for row in facts.request_classes]
             self.backends = Backends(
                 self.context,
                 self.tunnels,
                 self.probe_ended,
                 ReportReader(settings),
-                Paces((facts.shortest_message_goal or min(goals)) // 5),
+                Paces((facts.shortest_message_latency_target or min(goals)) // 5),
                 connect_within,
                 # A probe that takes longer than the tightest setup may tells nothing good of its backend.
                 probe_within=min(goals),
@@ -151,7 +151,7 @@
             tells = (settings.get("domain") or {}).get("tells_delay")
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as why:
             raise BadConfigError(f"the settings can't be used: {why!r}") from why
-        slow = facts.shortest_message_goal // 3 if tells else 0
+        slow = facts.shortest_message_latency_target // 3 if tells else 0
         self.reported, in_lines = (Delays(self.clock, slow, self.message_delayed) for _ in range(2))
         self.tunnels.connect(self.backends, Echoes(self.clock, self.timers, in_lines, self.tunnels.silent))
         self.policy_host.connect(self.tunnels, self.backends, self.boxes, self.watching)
--- a/cedarledge/net/request_guard.py
+++ b/cedarledge/net/request_guard.py
@@ -135,8 +135,8 @@
         if first is None or not self._classes:
             return True
         row = self._classes[request.request_class]
-        if row.effect is not Effect.REFERENCED:
-            return row.effect is Effect.REPEATABLE
+        if row.effect is not Effect.DEDUPLICATED:
+            return row.effect is Effect.IDEMPOTENT
         if now >= first.began + row.window + TIME_LIMIT_GRACE:
             return False
         field = GROUP_FIELDS.get(row.dedup)
@@ -150,8 +150,8 @@
         if not self._classes or request.first_possible_run() is None:
             return True
         row = self._classes[request.request_class]
-        is_harmless = row.effect is Effect.REPEATABLE or (
-            row.effect is Effect.REFERENCED and row.dedup is Dedup.ALL
+        is_harmless = row.effect is Effect.IDEMPOTENT or (
+            row.effect is Effect.DEDUPLICATED and row.dedup is Dedup.ALL
         )
         if not is_harmless:
             self._violated(Invariant.REJECTED_EFFECT, request)
--- a/cedarledge/policy/balancer.py
+++ b/cedarledge/policy/balancer.py
@@ -70,7 +70,7 @@
         load = mean_load(state.class_loads, now, request_class) if hint is None else hint
         group = group if state.settings.grouped else None
         connection = Connection(connection_id, request_class, tenant, key, group, load, now + time_budget)
-        target = state.settings.profiles[request_class].setup_goal
+        target = state.settings.request_classes[request_class].setup_latency_target
         connection.probe_deadline = now + int(probing.PROBE_TIME_SHARE * min(target, time_budget))
         state.connections[connection_id] = connection
         state.arrivals.add(now, 1)
@@ -246,9 +246,12 @@
 
     def message_delay_changed(self, now: int, backend_id: int, delay: int) -> None:
         """The delay with which a backend answers messages was measured."""
-        backend, shortest_goal = self.state.backends[backend_id], self.state.settings.shortest_message_goal
+        backend, shortest_target = (
+            self.state.backends[backend_id],
+            self.state.settings.shortest_message_latency_target,
+        )
         backend.message_delay, backend.delay_at = delay, now
-        if shortest_goal and delay > shortest_goal // 2:  # a report may be a round of probes old
+        if shortest_target and delay > shortest_target // 2:  # a report may be a round of probes old
             backend.mark_busy(now, rebalance.MAX_DELAY_AGE)
 
     def probe_ended(self, now: int, backend_id: int, answered: bool, report: terms.LoadReport) -> None:
--- a/cedarledge/policy/cells.py
+++ b/cedarledge/policy/cells.py
@@ -8,7 +8,7 @@
 
 MAX_CELLS = 6  # considered for a connection, so that the cost of a placement does not grow with the fleet
 MAX_GROUP_ZONES = 2  # that a group may spread over for locality; each one repeats its shared work
-# From this part of a connection's credit on, an attempt in another zone costs more than an uneven load does.
+# From this part of a connection's value on, an attempt in another zone costs more than an uneven load does.
 HIGH_CROSS_ZONE_COST = 0.05
 UINT64 = 2**64 - 1
 
--- a/cedarledge/policy/rebalance.py
+++ b/cedarledge/policy/rebalance.py
@@ -60,7 +60,7 @@
     )
     is_late = (
         now - backend.delay_at < MAX_DELAY_AGE
-        and backend.message_delay > state.settings.shortest_message_goal > 0
+        and backend.message_delay > state.settings.shortest_message_latency_target > 0
     )
     if is_late:  # a backlog delays all clients there until it is worked off, even if the offered load is low
         load, target = max(load, 1.0), max(0.0, target - backend.message_delay / QUEUE_DRAIN_TIME)
--- a/cedarledge/policy/retries.py
+++ b/cedarledge/policy/retries.py
@@ -15,10 +15,10 @@
     """
     if backend in connection.attempted_backends and len(connection.attempted_backends) < len(state.backends):
         return False
-    row, first = state.settings.profiles[connection.request_class], connection.executed_by
-    if first is None or row.effect is Effect.REPEATABLE:
+    row, first = state.settings.request_classes[connection.request_class], connection.executed_by
+    if first is None or row.effect is Effect.IDEMPOTENT:
         return True
-    if row.effect is Effect.ONCE_ONLY or now >= connection.executed_at + row.window:
+    if row.effect is Effect.NON_IDEMPOTENT or now >= connection.executed_at + row.window:
         return False
     is_in_scope = {
         Dedup.ALL: True,
@@ -30,8 +30,10 @@
 
 def may_reject(state: State, connection: Connection) -> bool:
     """Returns whether the client may be told to retry, as a second execution is impossible or harmless."""
-    row = state.settings.profiles[connection.request_class]
-    is_safe = row.effect is Effect.REPEATABLE or (row.effect is Effect.REFERENCED and row.dedup is Dedup.ALL)
+    row = state.settings.request_classes[connection.request_class]
+    is_safe = row.effect is Effect.IDEMPOTENT or (
+        row.effect is Effect.DEDUPLICATED and row.dedup is Dedup.ALL
+    )
     return connection.executed_by is None or is_safe
 
 
@@ -39,8 +41,8 @@
     """Returns whether a failed connection may be attempted again, and if so counts a retry."""
     if state.retries.read(now) > 3 + 0.5 * state.arrivals.read(now) or ejection.is_shared(state, now):
         return False
-    effect = state.settings.profiles[connection.request_class].effect
-    is_final = connection.executed_by and effect is Effect.ONCE_ONLY
+    effect = state.settings.request_classes[connection.request_class].effect
+    is_final = connection.executed_by and effect is Effect.NON_IDEMPOTENT
     if (
         is_final
         or len(connection.attempted_backends) >= state.settings.max_attempts
@@ -53,17 +55,17 @@
 
 def timeout(state: State, now: int, connection: Connection) -> int:
     """Returns the time-out of the next attempt, which leaves time for another one if the backend hangs."""
-    row = state.settings.profiles[connection.request_class]
+    row = state.settings.request_classes[connection.request_class]
     remaining = max(0, connection.deadline - now)
     is_last = (
-        row.effect is Effect.ONCE_ONLY
+        row.effect is Effect.NON_IDEMPOTENT
         or len(connection.attempted_backends) + 1 >= state.settings.max_attempts
     )
     if is_last or ejection.is_shared(state, now):
         return remaining
     count, total = state.attempt_durations.weight.read(now), state.attempt_durations.amount.read(now)
-    goal, deviation = row.setup_goal, state.attempt_deviations.read(now)
-    wait = max(0.35 * goal, total / count + 6 * deviation / count) if count > 0.5 else 0.5 * goal
+    target, deviation = row.setup_latency_target, state.attempt_deviations.read(now)
+    wait = max(0.35 * target, total / count + 6 * deviation / count) if count > 0.5 else 0.5 * target
     return remaining if wait > 0.7 * remaining else int(wait)
 
 
--- a/cedarledge/policy/shedding.py
+++ b/cedarledge/policy/shedding.py
@@ -11,7 +11,7 @@
 
 
 def is_shed(state: State, connection: Connection) -> bool:
-    """Returns whether a connection is in the part to shed: that of the least credit per load, then by key."""
+    """Returns whether a connection is in the part to shed: that of the least value per load, then by key."""
     # Few or old reports justify less shedding, as the rest of the fleet may have capacity.
     return (
         state.shed_fraction > 0
@@ -31,7 +31,7 @@
     tenant, quotas = connection.tenant, state.settings.tenant_quotas
     quota = quotas[tenant] if tenant is not None and tenant < len(quotas) else 0
     if quota and state.connections_by_tenant[tenant] >= quota / state.settings.relays:
-        position *= state.settings.over_quota_credit_factor
+        position *= state.settings.over_quota_value_factor
     return position
 
 
@@ -40,14 +40,14 @@
     grouped = state.settings.grouped
     if fleet <= (GROUPED_FULL_THRESHOLD if grouped else FULL_THRESHOLD) and not state.shed_fraction:
         return
-    classes = state.settings.profiles
+    classes = state.settings.request_classes
     mean_loads = [mean_load(state.class_loads, now, index) or 1.0 for index in range(len(classes))]
     demand = [
         load * (offered.read(now) + 0.1)
         for load, offered in zip(mean_loads, state.offered_arrivals, strict=True)
     ]
     total, start = sum(demand), 0.0
-    for index in sorted(range(len(classes)), key=lambda index: classes[index].credit / mean_loads[index]):
+    for index in sorted(range(len(classes)), key=lambda index: classes[index].value / mean_loads[index]):
         state.shed_order[index] = start, demand[index] / total
         start += demand[index] / total
     if grouped:
--- a/cedarledge/policy/state.py
+++ b/cedarledge/policy/state.py
@@ -112,8 +112,8 @@
         self.arrivals, self.retries = DecayingSum(10 * SECOND), DecayingSum(10 * SECOND)
         self.arrivals_per_backend = self.fill_rate = 0.0  # per second
         # Arrivals of each request class, without clients that return.
-        self.offered_arrivals = [DecayingSum(60 * SECOND) for _ in settings.profiles]
-        self.class_loads = [DecayingRatio(60 * SECOND) for _ in settings.profiles]
+        self.offered_arrivals = [DecayingSum(60 * SECOND) for _ in settings.request_classes]
+        self.class_loads = [DecayingRatio(60 * SECOND) for _ in settings.request_classes]
         self.attempt_durations, self.attempt_deviations = DecayingRatio(20 * SECOND), DecayingSum(20 * SECOND)
         self.host_type_capacity: defaultdict[int, DecayingRatio] = defaultdict(
             lambda: DecayingRatio(40 * SECOND)
@@ -125,7 +125,7 @@
         # Attempts in progress, and how many there may be while attempts fail at all backends.
         self.in_flight, self.attempt_limit = 0, math.inf
         # The part of arrivals to shed, and the start and width of each request class in the shed order.
-        self.shed_fraction, self.shed_order = 0.0, [(0.0, 1.0)] * len(settings.profiles)
+        self.shed_fraction, self.shed_order = 0.0, [(0.0, 1.0)] * len(settings.request_classes)
         self.next_probe_at = self.next_suspect_probe_at = settings.start_time
 
     def arrival_rate(self, now: int) -> float:
--- a/cedarledge/settings.py
+++ b/cedarledge/settings.py
@@ -11,7 +11,7 @@
 
 US = 1_000
 
-EFFECTS = {"pure": Effect.REPEATABLE, "token": Effect.REFERENCED, "side_effect": Effect.ONCE_ONLY}
+EFFECTS = {"pure": Effect.IDEMPOTENT, "token": Effect.DEDUPLICATED, "side_effect": Effect.NON_IDEMPOTENT}
 DEDUPS = {"all": Dedup.ALL, "zone": Dedup.ZONE, "cell": Dedup.CELL}
 
 # Load report columns: the field of LoadReport, and the factor that converts a value to its unit. The protocol
@@ -174,7 +174,7 @@
         relay_index=settings.get("me", 0),
         relays=max(1, settings.get("group_size") or 1),
         zone=zones[settings.get("zone")],
-        profiles=tuple(
+        request_classes=tuple(
             _request_class(row, (goals[index] if index < len(goals) else 0) or 0)
             for index, row in enumerate(settings.get("profiles") or ())
         ),
@@ -192,20 +192,20 @@
         overload_duration=int(safety["overload_for"]) * US,
         grouped=bool(domain.get("groups")),
         tenant_quotas=tuple(float(quota or 0) for quota in domain.get("tenant_quota_connections") or ()),
-        over_quota_credit_factor=1.0 if overage is None else float(overage),
+        over_quota_value_factor=1.0 if overage is None else float(overage),
         cross_zone_cost=float((settings.get("prices") or {}).get("cross_zone") or 0),
         zone_count=len(settings.get("dcs") or ()),
     )
 
 
-def _request_class(row: Mapping[str, Any], message_goal: float) -> RequestClassSettings:
+def _request_class(row: Mapping[str, Any], message_latency_target: float) -> RequestClassSettings:
     return RequestClassSettings(
         # Unknown values get the strictest rule.
-        effect=EFFECTS.get(row.get("semantics"), Effect.ONCE_ONLY),
+        effect=EFFECTS.get(row.get("semantics"), Effect.NON_IDEMPOTENT),
         dedup=DEDUPS.get(row.get("group"), Dedup.CELL),
         window=int(row.get("window") or 0) * US,
-        # Without a goal, an attempt may take as long as the client waits.
-        setup_goal=int(row["setup_goal"] or row.get("client_timeout") or 0) * US or SECOND,
-        message_goal=int(message_goal * US),
-        credit=float(row["credit"]),
+        # Without a target, an attempt may take as long as the client waits.
+        setup_latency_target=int(row["setup_goal"] or row.get("client_timeout") or 0) * US or SECOND,
+        message_latency_target=int(message_latency_target * US),
+        value=float(row["credit"]),
     )
--- a/cedarledge/terms.py
+++ b/cedarledge/terms.py
@@ -16,13 +16,13 @@
 class Effect(IntEnum):
     """What may happen if two backends execute the same request."""
 
-    REPEATABLE = 0
-    REFERENCED = 1
-    ONCE_ONLY = 2
+    IDEMPOTENT = 0
+    DEDUPLICATED = 1
+    NON_IDEMPOTENT = 2
 
 
 class Dedup(IntEnum):
-    """The backends that share deduplication state and so discard repeats of a `REFERENCED` request."""
+    """The backends that share deduplication state and so discard repeats of a `DEDUPLICATED` request."""
 
     CELL = 0
     ZONE = 1
@@ -93,9 +93,9 @@
     effect: Effect
     dedup: Dedup
     window: int  # how long backends remember a request in order to discard its repeats
-    setup_goal: int
-    message_goal: int  # 0: not configured
-    credit: float
+    setup_latency_target: int
+    message_latency_target: int  # 0: not configured
+    value: float
 
 
 class DeploymentSettings(NamedTuple):
@@ -106,7 +106,7 @@
     relay_index: int
     relays: int
     zone: int
-    profiles: tuple[RequestClassSettings, ...]
+    request_classes: tuple[RequestClassSettings, ...]
     weighted: bool  # whether the list's weights express different capacities
     requests_list: bool  # whether the policy has to request the backend list
     list_request_interval: int
@@ -120,14 +120,17 @@
     overload_duration: int  # how long such a load has to last until it fails
     grouped: bool  # whether connections of one group share work at a backend
     tenant_quotas: tuple[float, ...]  # open connections that each tenant is entitled to; 0: not configured
-    over_quota_credit_factor: float
-    cross_zone_cost: float = 0.0  # the part of a connection's credit that an attempt in another zone costs
+    over_quota_value_factor: float
+    cross_zone_cost: float = 0.0  # the part of a connection's value that an attempt in another zone costs
     zone_count: int = 0  # in the deployment; 0: not configured
 
     @property
-    def shortest_message_goal(self) -> int:
-        """The shortest message goal of all request classes; 0 if none is configured."""
-        return min((row.message_goal for row in self.profiles if row.message_goal), default=0)
+    def shortest_message_latency_target(self) -> int:
+        """The shortest message latency target of all request classes; 0 if none is configured."""
+        return min(
+            (row.message_latency_target for row in self.request_classes if row.message_latency_target),
+            default=0,
+        )
 
 
 class ExternalView(NamedTuple):
--- a/cedarledge/wirehost/wire.py
+++ b/cedarledge/wirehost/wire.py
@@ -98,7 +98,7 @@
 
     def _profile(self, name: str) -> int:
         index = self.profiles[name]
-        if index >= len(self.facts.profiles):
+        if index >= len(self.facts.request_classes):
             raise ValueError(f"type {name!r} is none of the settings' profiles")
         return index
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -44,11 +44,11 @@
         RequestClassSettings(effect, dedup, window, 300 * MS, 50 * MS, 1.0 + place)
         for place, (effect, dedup) in enumerate(
             (
-                (Effect.REPEATABLE, Dedup.ALL),
-                (Effect.REFERENCED, Dedup.ALL),
-                (Effect.REFERENCED, Dedup.ZONE),
-                (Effect.REFERENCED, Dedup.CELL),
-                (Effect.ONCE_ONLY, Dedup.ALL),
+                (Effect.IDEMPOTENT, Dedup.ALL),
+                (Effect.DEDUPLICATED, Dedup.ALL),
+                (Effect.DEDUPLICATED, Dedup.ZONE),
+                (Effect.DEDUPLICATED, Dedup.CELL),
+                (Effect.NON_IDEMPOTENT, Dedup.ALL),
             )
         )
     )
@@ -58,7 +58,7 @@
         relay_index=0,
         relays=2,
         zone=0,
-        profiles=rows,
+        request_classes=rows,
         weighted=False,
         requests_list=True,
         list_request_interval=10 * SECOND,
@@ -72,7 +72,7 @@
         overload_duration=2 * SECOND,
         grouped=False,
         tenant_quotas=(),
-        over_quota_credit_factor=1.0,
+        over_quota_value_factor=1.0,
     )
     return DeploymentSettings(**(plain | other))
 
@@ -120,15 +120,15 @@
         return [setup for setup in case.setups if setup[2] not in NEVER_RAN]
 
     def attempt(self, tun: int, ep: int, timeout: int) -> None:
-        case, row = self.requests[tun], self.settings.profiles[self.requests[tun].profile]
+        case, row = self.requests[tun], self.settings.request_classes[self.requests[tun].profile]
         assert not case.answered, "a send after the final answer"
         assert all(setup[2] is not None for setup in case.setups), "two setups out at once"
         assert len(case.setups) < self.settings.max_attempts
         assert 0 < timeout <= case.give_up - self.now, "a time-out past the client timeout"
         assert self.listing[ep].state is BackendState.READY, "a send to a draining or gone backend"
         ran = self._may_have_run(case)
-        if ran and row.effect is not Effect.REPEATABLE:
-            assert row.effect is Effect.REFERENCED, "a once-only tunnel may run twice"
+        if ran and row.effect is not Effect.IDEMPOTENT:
+            assert row.effect is Effect.DEDUPLICATED, "a once-only tunnel may run twice"
             first = ran[0]
             assert self.now < first[1] + row.window, "a repeat outside the window"
             one, two = self.listing[first[0]], self.listing[ep]
@@ -141,13 +141,13 @@
         self.sends.append((self.now, tun, ep))
 
     def reject(self, tun: int, come_back: int) -> None:
-        case, row = self.requests[tun], self.settings.profiles[self.requests[tun].profile]
+        case, row = self.requests[tun], self.settings.request_classes[self.requests[tun].profile]
         assert not case.answered, "two final answers"
         assert 0 <= come_back <= self.settings.max_retry_after
         assert (
             not self._may_have_run(case)
-            or row.effect is Effect.REPEATABLE
-            or (row.effect is Effect.REFERENCED and row.dedup is Dedup.ALL)
+            or row.effect is Effect.IDEMPOTENT
+            or (row.effect is Effect.DEDUPLICATED and row.dedup is Dedup.ALL)
         ), "a decline after a run"
         case.answered = True
         self.declines.append((self.now, tun))
@@ -178,7 +178,10 @@
     def check(self) -> None:
         for case in self.requests.values():
             held = case.setups and case.setups[-1][2] is None
-            looks = self.now < case.arrived + self.settings.profiles[case.profile].setup_goal // 4
+            looks = (
+                self.now
+                < case.arrived + self.settings.request_classes[case.profile].setup_latency_target // 4
+            )
             assert case.answered or held or looks, "a tunnel with neither an answer nor a setup out"
 
     def tell(self, form: ListForm, *entries: BackendEntry) -> None:
--- a/tests/policy_models.py
+++ b/tests/policy_models.py
@@ -102,9 +102,9 @@
             relay_index=relay_id,
             relays=self.relays,
             zone=relay_id % 2,
-            profiles=tuple(
+            request_classes=tuple(
                 RequestClassSettings(
-                    Effect.REPEATABLE, Dedup.ALL, 0, request_class.deadline // 4, 50 * MS, request_class.value
+                    Effect.IDEMPOTENT, Dedup.ALL, 0, request_class.deadline // 4, 50 * MS, request_class.value
                 )
                 for request_class in self.classes
             ),
@@ -121,7 +121,7 @@
             overload_duration=self.fall_span,
             grouped=self.group_size > 0,
             tenant_quotas=(quota,) * self.tenants,
-            over_quota_credit_factor=0.1,
+            over_quota_value_factor=0.1,
             cross_zone_cost=self.crossing,
         )
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -33,7 +33,9 @@
     def __init__(self) -> None:
         self.now = 1000 * SECOND
         self.invariants = Invariants()
-        self.guard = RequestGuard(self.invariants, lambda: self.now, make_settings().profiles, LISTED, NAMES)
+        self.guard = RequestGuard(
+            self.invariants, lambda: self.now, make_settings().request_classes, LISTED, NAMES
+        )
 
     def request(self, request_class: int = IDEMPOTENT) -> RequestRecord:
         return RequestRecord("id", request_class, self.now + 3 * SECOND)
@@ -105,7 +107,7 @@
     allowed = {backend for backend in LISTED if scene.guard.may_attempt(request, backend, is_ready=True)}
     assert allowed == may_go_to
     assert scene.guard.may_reject(request) == may_reject
-    window = make_settings().profiles[request_class].window
+    window = make_settings().request_classes[request_class].window
     scene.now = request.attempts[0].began + window + TIME_LIMIT_GRACE
     later = {backend for backend in LISTED if scene.guard.may_attempt(request, backend, is_ready=True)}
     assert later == (may_go_to if request_class == IDEMPOTENT else set())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -50,7 +50,7 @@
                 relays=relays,
                 max_retry_after=SECOND if ask else 0,
                 tenant_quotas=(4.0, 4.0),
-                over_quota_credit_factor=0.1,
+                over_quota_value_factor=0.1,
             )
         )
         self.host.tell(
--- a/tests/test_tunnels.py
+++ b/tests/test_tunnels.py
@@ -130,7 +130,7 @@
             {},
             [SECOND] * 3,
             150 * MS,
-            make_settings().profiles,
+            make_settings().request_classes,
         )
         self.tunnels.connect(
             self, Echoes(self.now, timers, Delays(self.now, 0, lambda *_: None), self.tunnels.silent)
