--- a/cedarledge/net/relay.py
+++ b/cedarledge/net/relay.py
@@ -141,15 +141,15 @@
                 tenants,
                 client_timeouts,
                 connect_timeout,
-                deployment.profiles,
+                deployment.request_classes,
             )
-            setup_goals = [row.setup_goal for row in deployment.profiles]
+            setup_goals = [row.setup_latency_target for row in deployment.request_classes]
             self.backends = BackendConnector(
                 self.context,
                 self.tunnels,
                 self.probe_ended,
                 ReportReader(settings),
-                ProbeLatencies((deployment.shortest_message_goal or min(setup_goals)) // 5),
+                ProbeLatencies((deployment.shortest_message_latency_target or min(setup_goals)) // 5),
                 connect_timeout,
                 # A probe that takes longer than the shortest setup goal counts as failed.
                 probe_timeout=min(setup_goals),
@@ -160,7 +160,7 @@
             tells = (settings.get("domain") or {}).get("tells_delay")
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as why:
             raise BadConfigError(f"the settings can't be used: {why!r}") from why
-        slow = deployment.shortest_message_goal // 3 if tells else 0
+        slow = deployment.shortest_message_latency_target // 3 if tells else 0
         self.reported_delays, line_delays = (
             LatencyReporter(self.clock, slow, self.message_delayed) for _ in range(2)
         )
--- a/cedarledge/wirehost/wire.py
+++ b/cedarledge/wirehost/wire.py
@@ -110,7 +110,7 @@
 
     def _profile(self, name: str) -> int:
         index = self.profiles[name]
-        if index >= len(self.deployment.profiles):
+        if index >= len(self.deployment.request_classes):
             raise ValueError(f"type {name!r} is not among the profiles of the settings")
         return index
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -44,11 +44,11 @@
         RequestClassSettings(effect, dedup, window, 300 * MS, 50 * MS, 1.0 + place)
         for place, (effect, dedup) in enumerate(
             (
-                (Effect.REPEATABLE, Dedup.ALL),
-                (Effect.REFERENCED, Dedup.ALL),
-                (Effect.REFERENCED, Dedup.ZONE),
-                (Effect.REFERENCED, Dedup.CELL),
-                (Effect.ONCE_ONLY, Dedup.ALL),
+                (Effect.IDEMPOTENT, Dedup.ALL),
+                (Effect.DEDUPLICATED, Dedup.ALL),
+                (Effect.DEDUPLICATED, Dedup.ZONE),
+                (Effect.DEDUPLICATED, Dedup.CELL),
+                (Effect.NON_IDEMPOTENT, Dedup.ALL),
             )
         )
     )
@@ -58,7 +58,7 @@
         relay_index=0,
         relays=2,
         zone=0,
-        profiles=rows,
+        request_classes=rows,
         weighted=False,
         requests_list=True,
         list_request_interval=10 * SECOND,
@@ -72,7 +72,7 @@
         overload_duration=2 * SECOND,
         grouped=False,
         tenant_quotas=(),
-        over_quota_credit_factor=1.0,
+        over_quota_value_factor=1.0,
     )
     return DeploymentSettings(**(plain | other))
 
@@ -130,7 +130,7 @@
     def attempt(self, connection_id: int, backend_id: int, timeout: int) -> None:
         request, row = (
             self.requests[connection_id],
-            self.settings.profiles[self.requests[connection_id].profile],
+            self.settings.request_classes[self.requests[connection_id].profile],
         )
         assert not request.answered, "an attempt after the final answer"
         assert all(setup[2] is not None for setup in request.setups), "two attempts at once"
@@ -142,8 +142,8 @@
             "an attempt at a draining or removed backend"
         )
         ran = self._may_have_run(request)
-        if ran and row.effect is not Effect.REPEATABLE:
-            assert row.effect is Effect.REFERENCED, "a request that must not be repeated may run twice"
+        if ran and row.effect is not Effect.IDEMPOTENT:
+            assert row.effect is Effect.DEDUPLICATED, "a request that must not be repeated may run twice"
             first = ran[0]
             assert self.now < first[1] + row.window, "a repetition after the deduplication window"
             one, two = self.listing[first[0]], self.listing[backend_id]
@@ -158,14 +158,14 @@
     def reject(self, connection_id: int, retry_after: int) -> None:
         request, row = (
             self.requests[connection_id],
-            self.settings.profiles[self.requests[connection_id].profile],
+            self.settings.request_classes[self.requests[connection_id].profile],
         )
         assert not request.answered, "two final answers"
         assert 0 <= retry_after <= self.settings.max_retry_after
         assert (
             not self._may_have_run(request)
-            or row.effect is Effect.REPEATABLE
-            or (row.effect is Effect.REFERENCED and row.dedup is Dedup.ALL)
+            or row.effect is Effect.IDEMPOTENT
+            or (row.effect is Effect.DEDUPLICATED and row.dedup is Dedup.ALL)
         ), "a rejection of a request that may have run"
         request.answered = True
         self.declines.append((self.now, connection_id))
@@ -200,7 +200,8 @@
         for request in self.requests.values():
             is_attempted = request.setups and request.setups[-1][2] is None
             awaits_probe = (
-                self.now < request.arrived + self.settings.profiles[request.profile].setup_goal // 4
+                self.now
+                < request.arrived + self.settings.request_classes[request.profile].setup_latency_target // 4
             )
             assert request.answered or is_attempted or awaits_probe, (
                 "a request with neither an answer nor an attempt"
