--- a/cedarledge/net/audit.py
+++ b/cedarledge/net/audit.py
@@ -47,12 +47,12 @@
         self._logged_at, self._logged = timers.now(), ""
         self._reported: set[int] = set()  # handles of the tunnels that were counted already
         self._check_timer: Timer | None = None
-        timers.stuck = self._report_stuck_timers
+        timers.on_stuck = self._report_stuck_timers
 
     def start(self) -> None:
         """Schedules the next check."""
         # After input that is still unread: a pause of the whole process breaks no invariant.
-        self._check_timer = self._timers.after_reading(AUDIT_INTERVAL, self._check)
+        self._check_timer = self._timers.after_pending_reads(AUDIT_INTERVAL, self._check)
 
     def _check(self) -> None:
         self.start()
@@ -75,7 +75,7 @@
         if not tunnel.is_open:
             if deadline and now > deadline + TIME_LIMIT_GRACE:
                 self._report(Invariant.OVERDUE_REQUEST, handle, tunnel)
-        elif tunnel.echo is not None and tunnel.echo.silent_for(now) > LONGEST_SILENCE:
+        elif tunnel.message_timer is not None and tunnel.message_timer.unanswered_for(now) > LONGEST_SILENCE:
             self._report(Invariant.HELD_SILENT, handle, tunnel)
 
     def _report(self, invariant: Invariant, handle: int, tunnel: Tunnel) -> None:
--- a/cedarledge/net/config.py
+++ b/cedarledge/net/config.py
@@ -11,12 +11,12 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from cedarledge.net.shortages import NOT_NOW
+from cedarledge.net.transient_errors import TRANSIENT_IO_ERRORS
 from cedarledge.settings import check_settings
 
 Address = tuple[str, int]
 # Errors of opening and reading a file that may be gone at the next attempt.
-TRANSIENT_READ_ERRORS = NOT_NOW | {errno.EIO}
+TRANSIENT_READ_ERRORS = TRANSIENT_IO_ERRORS | {errno.EIO}
 # Attempts to read the file at the start, and the seconds between two of them.
 START_READ_ATTEMPTS, READ_RETRY_DELAY_S = 20, 0.05
 
--- a/cedarledge/net/control.py
+++ b/cedarledge/net/control.py
@@ -9,8 +9,8 @@
 from loguru import logger
 from twisted.internet.interfaces import IAddress
 
-from cedarledge.net.buffers import Pool
-from cedarledge.net.links import ConnectionContext, Link
+from cedarledge.net.buffers import BufferPool
+from cedarledge.net.line_connection import ConnectionContext, LineConnection
 from cedarledge.net.listeners import ACCEPTS_PER_TURN, EvictingListener
 from cedarledge.net.service import ServiceState, UnknownBackendError
 from cedarledge.net.slots import SlotTable
@@ -124,7 +124,7 @@
         return Call(words[0], words[1].partition("?")[0]), int(length)
 
 
-class CallConnection(Link):
+class CallConnection(LineConnection):
     """One operator's connection.
 
     The answer goes out in the event that brings the last byte of the call, or once the other process of this
@@ -139,10 +139,10 @@
         self.control = control
         self.reader = CallReader()
 
-    def came_up(self) -> None:
+    def on_connected(self) -> None:
         """Starts the time limit for the call."""
         self.control.mark_waiting(self)
-        self.due_in(CALL_TIMEOUT, self._timed_out, reads_first=True)
+        self.set_deadline(CALL_TIMEOUT, self._timed_out, pending_reads_first=True)
 
     def _timed_out(self) -> None:
         self.answer(Answer(408, "no whole call in time"))
@@ -155,14 +155,14 @@
         try:
             call = self.reader.feed(data)
         except CallError as why:
-            self.context.rate_limited_log.about(self.peer, str(why))
+            self.context.rate_limited_log.warn(self.peer, str(why))
             self.answer(why.answer)
             return
         if call is None:
             self.control.mark_waiting(self)
         else:
             self.control.protect(self)
-            self.nothing_due()
+            self.clear_deadline()
             self.control.handle_call(call, self.answer)
 
     def answer(self, answer: Answer) -> None:
@@ -177,11 +177,11 @@
         # Not earlier: an evicted connection is reset, and an answer not written yet would be lost.
         self.control.mark_answered(self)
 
-    def peer_ended(self, abrupt: bool) -> None:
+    def peer_closed(self, abrupt: bool) -> None:
         """Does nothing: no call needs its operator once it has started."""
 
-    def _gone(self) -> None:
-        super()._gone()
+    def _release(self) -> None:
+        super()._release()
         self.control.forget(self)
 
 
@@ -195,7 +195,7 @@
 
     def __init__(self, context: ConnectionContext, service: ServiceState, handover: Handover | None) -> None:
         """Uses slots of its own, so that clients can't take those of operators."""
-        super().__init__(context._replace(links=SlotTable(MAX_CALLERS), pool=Pool(0, 0)))
+        super().__init__(context._replace(connections=SlotTable(MAX_CALLERS), pool=BufferPool(0, 0)))
         self.service = service
         self.handover = handover  # None if this relay can't have another process
 
@@ -206,7 +206,7 @@
         # accept 24 connections in its next turn, more than there are slots, and the first of them would be
         # evicted for the last before their calls were read.
         self.context.timers.after(0, setattr, self.port, "numberAccepts", ACCEPTS_PER_TURN)
-        return CallConnection(self) if self.context.links.free else None
+        return CallConnection(self) if self.context.connections.free else None
 
     def handle_call(self, call: Call, answer: Callable[[Answer], None]) -> None:
         """Runs a call; passes the response to `answer` once the other process, if any, has the call too."""
--- a/cedarledge/net/listeners.py
+++ b/cedarledge/net/listeners.py
@@ -11,8 +11,8 @@
 from twisted.internet.protocol import ServerFactory
 
 from cedarledge.net.config import Address
-from cedarledge.net.links import ConnectionContext, Link
-from cedarledge.net.shortages import SHORTAGES
+from cedarledge.net.line_connection import ConnectionContext, LineConnection
+from cedarledge.net.transient_errors import RESOURCE_ERRORS
 
 # Connections that Twisted is told to accept in one turn of the reactor. It may accept up to 20 more; the
 # spare slots cover these, since an evicted connection frees its slot only after the turn.
@@ -40,9 +40,9 @@
         self.context = context
         self.port: Any = None
         # Idle connections, each set in the order in which they were marked so.
-        self.answered: dict[Link, None] = {}  # answered, and the peer has not closed its side
-        self.waiting: dict[Link, None] = {}  # no complete request has arrived
-        self.evicted: set[Link] = set()  # aborted, their slots not free yet
+        self.answered: dict[LineConnection, None] = {}  # answered, and the peer has not closed its side
+        self.waiting: dict[LineConnection, None] = {}  # no complete request has arrived
+        self.evicted: set[LineConnection] = set()  # aborted, their slots not free yet
 
     def open(self, address: Address, inherited: int | None = None) -> None:
         """Listens on a new socket, or on the socket that this process inherited as descriptor `inherited`."""
@@ -65,7 +65,7 @@
                 return self.context.reactor.listenTCP(port, self, backlog=BACKLOG, interface=host)
             except (CannotListenError, OSError) as why:
                 error = why.socketError if isinstance(why, CannotListenError) else why
-                if getattr(error, "errno", None) not in SHORTAGES:
+                if getattr(error, "errno", None) not in RESOURCE_ERRORS:
                     raise
             time.sleep(LISTEN_RETRY_DELAY_S)
         return self.context.reactor.listenTCP(port, self, backlog=BACKLOG, interface=host)
@@ -76,7 +76,7 @@
         self.port.numberAccepts = ACCEPTS_PER_TURN
         # A new connection that becomes a tunnel takes a second slot for its attempt, so more than one may
         # have to go.
-        while self.context.links.free + len(self.evicted) <= self.spare_slots and (
+        while self.context.connections.free + len(self.evicted) <= self.spare_slots and (
             idle := self.answered or self.waiting
         ):
             link = next(iter(idle))
@@ -84,19 +84,19 @@
             self.evicted.add(link)
             link.abort()
 
-    def mark_waiting(self, link: Link) -> None:
+    def mark_waiting(self, link: LineConnection) -> None:
         """Notes that a link has connected, or has sent a further part of its request but not all of it."""
         if link not in self.evicted:
             self.protect(link)
             self.waiting[link] = None
 
-    def mark_answered(self, link: Link) -> None:
+    def mark_answered(self, link: LineConnection) -> None:
         """Notes that a link has had its answer, for now at least."""
         if link not in self.evicted:
             self.protect(link)
             self.answered[link] = None
 
-    def protect(self, link: Link) -> None:
+    def protect(self, link: LineConnection) -> None:
         """Exempts a link from eviction."""
         self.answered.pop(link, None)
         self.waiting.pop(link, None)
@@ -107,7 +107,7 @@
             if not link.ending:  # or its last answer might be lost
                 link.abort()
 
-    def forget(self, link: Link) -> None:
+    def forget(self, link: LineConnection) -> None:
         """Drops a link whose connection is closed."""
         self.protect(link)
         self.evicted.discard(link)
--- a/cedarledge/net/service.py
+++ b/cedarledge/net/service.py
@@ -4,8 +4,8 @@
 
 from loguru import logger
 
-from cedarledge.net.backends import Backends
-from cedarledge.net.boxlist import BoxList
+from cedarledge.net.backend_registry import BackendRegistry
+from cedarledge.net.backends import BackendConnector
 from cedarledge.net.interfaces import Frontend
 from cedarledge.net.policy_host import RelayPolicyHost
 from cedarledge.net.timers import Timer, Timers
@@ -32,15 +32,15 @@
         self,
         timers: Timers,
         policy_host: RelayPolicyHost,
-        boxes: BoxList,
+        registry: BackendRegistry,
         tunnels: Tunnels,
-        backends: Backends,
+        backends: BackendConnector,
         frontend: Frontend,
     ) -> None:
         """Starts in service and not yet listening; the relay sets the flags as it starts and stops."""
         self.timers = timers
         self.policy_host = policy_host
-        self.boxes = boxes
+        self.registry = registry
         self.tunnels = tunnels
         self.backends = backends
         self.frontend = frontend
@@ -69,7 +69,7 @@
             # While a process takes over it reports ready even out of service: the previous process is
             # stopped only once the new one is ready.
             return "out of service"
-        if not self.boxes.heard and not self.boxes.ready:
+        if not self.registry.has_discovery_list and not self.registry.ready:
             return "no list of backends yet"
         return ""
 
@@ -81,7 +81,7 @@
         logger.info("out of service: moving {} tunnels to other relays", self.tunnels.table.used)
         if not self.stopping:
             self.policy_host.call(self.policy_host.balancer.drain_started, MOVE_ALL_WITHIN)
-            self._end_all_timer = self.timers.after_reading(END_ALL_AFTER, self.tunnels.close_all)
+            self._end_all_timer = self.timers.after_pending_reads(END_ALL_AFTER, self.tunnels.close_all)
 
     def return_to_service(self) -> None:
         """Takes clients in again and keeps the connections that have not been moved yet."""
@@ -98,15 +98,15 @@
         backend_id = self._backend_id_of(name)
         # The list changes first, so that a request that waits for a probe of this backend goes to another
         # one.
-        self.boxes.ban(backend_id, self.timers.now())
-        self.backends.no_probes(backend_id)
+        self.registry.ban(backend_id, self.timers.now())
+        self.backends.abort_probe(backend_id)
 
     def bring_backend_online(self, name: str) -> None:
         """Lets a backend that was taken offline be chosen again; raises UnknownBackendError."""
-        self.boxes.put_back(self._backend_id_of(name), self.timers.now())
+        self.registry.unban(self._backend_id_of(name), self.timers.now())
 
     def _backend_id_of(self, name: str) -> int:
-        backend_id = self.boxes.known(name)
+        backend_id = self.registry.find(name)
         if backend_id is None:
             raise UnknownBackendError(name)
         return backend_id
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -39,11 +39,11 @@
 from test_handover import RestartableRelay
 from twisted.internet.task import Clock
 
-from cedarledge.net.buffers import Pool
+from cedarledge.net.buffers import BufferPool
 from cedarledge.net.control import CALL_TIMEOUT
 from cedarledge.net.handover import ACKNOWLEDGE_WITHIN, Handover
 from cedarledge.net.invariants import Invariants
-from cedarledge.net.links import LINGER, ConnectionContext, Link
+from cedarledge.net.line_connection import LINGER, ConnectionContext, LineConnection
 from cedarledge.net.rate_limited_log import RateLimitedLog
 from cedarledge.net.service import ServiceState
 from cedarledge.net.slots import SlotTable
@@ -542,8 +542,10 @@
         return round(clock.seconds() * SECOND)
 
     timers = Timers(clock, now)
-    link = Link(
-        ConnectionContext(clock, now, timers, Pool(9, 1), SlotTable(1), RateLimitedLog(timers), Invariants())
+    link = LineConnection(
+        ConnectionContext(
+            clock, now, timers, BufferPool(9, 1), SlotTable(1), RateLimitedLog(timers), Invariants()
+        )
     )
     link.transport = RecordingTransport()
     link.connectionMade()
@@ -597,9 +599,9 @@
     [
         "tunnels Tunnels request_arrived before",
         "tunnels Tunnels request_arrived after",
-        "backends SetupLink connect after",
-        "backends SetupLink came_up before",
-        "backends SetupLink came_up after",
+        "backends SetupConnection connect after",
+        "backends SetupConnection on_connected before",
+        "backends SetupConnection on_connected after",
     ],
 )
 def test_clients_that_leave_during_a_pause_of_the_process_are_not_sent_to_a_backend(
@@ -627,7 +629,7 @@
 ) -> None:
     """Unread data hid the FIN behind it: the request was sent 0.35 s after the client had left."""
     backend = Backend("a")
-    place = "backends SetupLink came_up before"
+    place = "backends SetupConnection on_connected before"
     with SelfStoppingRelay(tmp_path, [backend], place.split(), settings=UNHURRIED) as relay:
         client = send_request(relay)
         relay.until_paused()
@@ -960,7 +962,7 @@
     return client, [first, other]
 
 
-WRITTEN = "backends SetupLink resumeProducing after"
+WRITTEN = "backends SetupConnection resumeProducing after"
 
 
 @mark.parametrize("name", ["feed", "bill", "mark"])
@@ -1133,7 +1135,7 @@
     def now() -> int:
         return round(clock.seconds() * SECOND)
 
-    context = SimpleNamespace(reactor=clock, timers=Timers(clock, now), links=None)
+    context = SimpleNamespace(reactor=clock, timers=Timers(clock, now), connections=None)
     handover = Handover(context, tmp_path, "n0", *[None] * 5)
     peer = handover.successor = SimpleNamespace(send=lambda **line: sent.append(line))
     for number in (1, 2):
