--- a/cedarledge/cli.py
+++ b/cedarledge/cli.py
@@ -41,8 +41,10 @@
 def main() -> None:
     """A load balancer for long-lived connections, and a test rig for it.
 
-    Without arguments it runs the relay that BALANCER_CONFIG configures. Exit codes: 0 success; 1 a rule was
-    broken; 2 bad usage or a file that can't be used; 3 an invalid run, since the stand-ins ran late.
+    Without arguments it runs the relay that BALANCER_CONFIG configures.
+
+    Exit codes: 0 success; 1 a rule was broken; 2 bad usage or a file that can't be used; 3 an invalid run, since
+    the stand-ins ran late.
 
     For completion in bash: eval "$(_CEDARLEDGE_COMPLETE=bash_source cedarledge)"; zsh and fish likewise.
     """
@@ -74,7 +76,7 @@
     except BadFileError as why:
         _exit_unusable(why)
     on = [] if scenario else loaded.enabled_tables()
-    click.echo(f"{file}: valid" + (f"; on: {', '.join(on)}" if on else ""))
+    click.echo(f"{file}: good" + (f"; on: {', '.join(on)}" if on else ""))
 
 
 def _size_options(command: Callable[..., None]) -> Callable[..., None]:
