--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -90,7 +90,7 @@
 @settings(derandomize=True, deadline=None, max_examples=200)
 def test_nothing_new_goes_to_a_banned_backend_whatever_the_list_says(steps: list[tuple[str, str]]) -> None:
     site = Listed()
-    host, boxes = site.host, site.boxes
+    host, boxes = site.host, site.registry
     banned: set[str] = set()
     for what, name in steps:
         sends, probes = len(host.sends), len(host.probes)
@@ -125,7 +125,7 @@
 
 def test_a_ban_on_all_is_followed_where_a_list_of_all_to_set_aside_is_not() -> None:
     site = Listed()
-    site.boxes.set_excluded(NAMES)
+    site.registry.set_excluded(NAMES)
     tun = site.host.arrive()
     assert site.host.sends and not site.host.requests[tun].answered, "a slip, which would close the site"
     for name in NAMES:
@@ -214,9 +214,9 @@
     host = site.host
     tun = host.arrive(key="k")
     ep = host.sends[-1][2]
-    site.ban(site.boxes.backend_ids.names[ep])
+    site.ban(site.registry.backend_ids.names[ep])
     # The host asks once more before it writes (Tunnels.may_send), and says that it was not sent.
-    assert ep not in site.boxes.ready
+    assert ep not in site.registry.ready
     host.end(tun, Outcome.NOT_SENT)
     while tun in host.balancer.state.awaiting_probe:
         host.report(host.balancer.state.awaiting_probe[tun].backend_id, 0.1)
