--- a/cedarledge/net/eventlog.py
+++ b/cedarledge/net/eventlog.py
@@ -54,12 +54,12 @@
             was_open=was_open,
         )
 
-    def answered(self, now: int, tunnel_id: int, declined: bool, took: int) -> None:
+    def answered(self, now: int, tunnel_id: int, rejected: bool, took: int) -> None:
         self._say(
             "answered",
             "tunnel.answered",
             tunnel=tunnel_id,
-            outcome="declined" if declined else "closed_with_error",
+            outcome="declined" if rejected else "closed_with_error",
             took=took,
         )
 
--- a/cedarledge/net/interfaces.py
+++ b/cedarledge/net/interfaces.py
@@ -125,8 +125,8 @@
     ) -> None:
         """An attempt failed, or the backend closed an open connection."""
 
-    def answered(self, now: int, tunnel_id: int, declined: bool, took: int) -> None:
-        """The request was rejected (BUSY) or, if `declined` is false, answered with an error."""
+    def answered(self, now: int, tunnel_id: int, rejected: bool, took: int) -> None:
+        """The request was rejected (BUSY) or, if `rejected` is false, answered with an error."""
 
     def moved(self, now: int, tunnel_id: int, backend_id: int) -> None:
         """The client of an open connection was asked to open it anew."""
--- a/cedarledge/net/policy_host.py
+++ b/cedarledge/net/policy_host.py
@@ -40,7 +40,7 @@
         self.registry = registry
         self.watch = watch
         # Attempts and answers concern one tunnel only and go straight to Tunnels.
-        self.attempt, self.reject = tunnels.send, tunnels.decline
+        self.attempt, self.reject = tunnels.attempt, tunnels.reject
         self.close_with_error, self.move = tunnels.close_with_error, tunnels.move
 
     def start(self, settings: DeploymentSettings, make_balancer: MakeBalancer = Balancer) -> None:
--- a/cedarledge/net/tunnels.py
+++ b/cedarledge/net/tunnels.py
@@ -117,9 +117,8 @@
         self.observers = observers
         self.table: SlotTable[Tunnel] = SlotTable(capacity)
         self.ids: set[str] = set()  # request ids of all tunnels, as given by the clients
-        self.predecessor_ids: frozenset[str] = (
-            frozenset()
-        )  # of the tunnels that the predecessor process still holds
+        # Request ids of the tunnels that the predecessor process still holds.
+        self.predecessor_ids: frozenset[str] = frozenset()
         self.profiles = profiles
         self.tenants = tenants
         self.client_timeouts = client_timeouts
@@ -131,7 +130,7 @@
         self.net_returned_clients = DecayingSum(RETURNED_CLIENTS_LIFETIME)
 
     def connect(self, backends: BackendConnector, message_timers: MessageTimers) -> None:
-        """Sets the parts that need this object themselves; call it before any request arrives."""
+        """Sets the parts that are created with this object; call it before any request arrives."""
         self.backends = backends
         self.message_timers = message_timers
 
@@ -141,7 +140,7 @@
 
     # -- actions of the balancer -------------------------------------------------------------------
 
-    def send(self, tunnel_id: int, backend_id: int, timeout: int) -> None:
+    def attempt(self, tunnel_id: int, backend_id: int, timeout: int) -> None:
         """Begins an attempt at a backend, to be answered within `timeout` ns.
 
         An attempt that would violate an invariant, or finds no free slot, is reported as not sent.
@@ -173,7 +172,7 @@
         except NoFreeSlotError:
             self._report_not_sent(tunnel_id, backend_id)
 
-    def decline(self, tunnel_id: int, retry_after: int) -> None:
+    def reject(self, tunnel_id: int, retry_after: int) -> None:
         """Rejects a request; answers with an error if it may have run and must not be repeated."""
         tunnel = self.table.get(tunnel_id)
         if not self.guard.may_reject(tunnel.request):
@@ -488,16 +487,16 @@
         if over and tunnel.message_timer is not None:
             tunnel.message_timer.close()
 
-    def _finish_answered(self, tunnel_id: int, declined: bool) -> None:
+    def _finish_answered(self, tunnel_id: int, rejected: bool) -> None:
         """Ends a tunnel whose final answer was sent.
 
         The balancer answers only while no attempt is in progress.
         """
         tunnel = self.table.get(tunnel_id)
-        self._counts["rejected" if declined else "failed"] += 1
-        self.guard.record_answer(tunnel.request, "BUSY" if declined else "ERR")
+        self._counts["rejected" if rejected else "failed"] += 1
+        self.guard.record_answer(tunnel.request, "BUSY" if rejected else "ERR")
         self._detach_attempt(tunnel)
-        self.observers.notify("answered", tunnel_id, declined, self.clock() - tunnel.began)
+        self.observers.notify("answered", tunnel_id, rejected, self.clock() - tunnel.began)
         self._release(tunnel_id)
 
     def fail_request(self, tunnel_id: int) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -119,7 +119,7 @@
         self.declines: list[tuple[int, int]] = []
         self.watches: list[int] = []
         self.wakes: list[tuple[int, int]] = []
-        self.told: dict[int, float] = {}  # load that each backend reported last; probes return it again
+        self.reported_loads: dict[int, float] = {}  # of each backend, the last; probes return it again
         self.balancer = Balancer(self, settings)
 
     # -- actions of the balancer (terms.PolicyHost), with the checks -----------------------------
@@ -207,7 +207,7 @@
                 "a request with neither an answer nor an attempt"
             )
 
-    def tell(self, form: ListForm, *entries: BackendEntry) -> None:
+    def update_list(self, form: ListForm, *entries: BackendEntry) -> None:
         """Passes a list of backends to the balancer."""
         if form is not ListForm.UNAVAILABLE:
             if form is not ListForm.CHANGES:
@@ -232,7 +232,7 @@
         )
         while self.answers and connection_id in self.balancer.state.awaiting_probe:
             backend_id = self.balancer.state.awaiting_probe[connection_id].backend_id
-            self.report(backend_id, self.told.get(backend_id, 0.0))
+            self.report(backend_id, self.reported_loads.get(backend_id, 0.0))
         return connection_id
 
     def adopt(self, backend_id: int, hint: float | None = None, group: str | None = None) -> int:
@@ -264,7 +264,7 @@
                 self.end(connection_id, Outcome.CANCELLED)
 
     def report(self, backend_id: int, asked: float) -> None:
-        self.told[backend_id] = asked
+        self.reported_loads[backend_id] = asked
         self.balancer.probe_ended(self.now, backend_id, True, LoadReport(offered_load=asked))
 
     def run(self, span: int) -> None:
@@ -282,7 +282,7 @@
     size: int = 6, asked: float | None = 0.3, cells: int = 2, **other: object
 ) -> RuleCheckingHost:
     host = RuleCheckingHost(make_settings(**other))
-    host.tell(ListForm.RESTORED, *(list_entry(backend_id, cells=cells) for backend_id in range(size)))
+    host.update_list(ListForm.RESTORED, *(list_entry(backend_id, cells=cells) for backend_id in range(size)))
     if asked is not None:
         for backend_id in range(size):
             host.report(backend_id, asked)
@@ -376,9 +376,9 @@
         self.name = name
         self.modes = list(modes) or ["UP r"]
         self.ends: list[str] = []  # how each connection ended, as seen here: "ended" or "reset"
-        self.deaf = False  # lines get no response
+        self.unresponsive = False  # lines get no response
         self.stats = "utilization=0.2,recent_ms=4,x0=0.2"
-        self.heads: list[str] = []
+        self.open_lines: list[str] = []
         self.opened: list[socket.socket] = []
         self.last: socket.socket  # connection of the newest OPEN
         super().__init__()
@@ -414,11 +414,11 @@
                 if line == b"RESET\r\n":
                     reset(link, lines)
                     return
-                if not self.deaf:
+                if not self.unresponsive:
                     link.sendall(line)
             else:
                 self.last = link
-                self.heads.append(line.decode().strip())
+                self.open_lines.append(line.decode().strip())
                 mode = self.modes.pop(0) if len(self.modes) > 1 else self.modes[0]
                 if mode == "reset":
                     reset(link, lines)
@@ -465,7 +465,7 @@
             self.down = True
             self.changed.notify_all()
 
-    def tell(self, *entries: dict) -> None:
+    def publish(self, *entries: dict) -> None:
         with self.changed:
             self.changes = list(entries)
             self.revision += 1
@@ -500,12 +500,12 @@
                 link.sendall(self.silent[link])
                 continue
             self.answered.append(time.monotonic())
-            self.say(link, (self.broken or http(self.text_of(told))) * (1 + self.twice))
+            self.send(link, (self.broken or http(self.text_of(told))) * (1 + self.twice))
 
     def text_of(self, told: dict) -> bytes:
         return json.dumps(told).encode()
 
-    def say(self, link: socket.socket, data: bytes) -> None:
+    def send(self, link: socket.socket, data: bytes) -> None:
         link.sendall(data)
 
 
@@ -519,7 +519,7 @@
         self.link = socket.create_connection(address, timeout=8)
         self.file = self.link.makefile("rb")
 
-    def say(self, line: str) -> str:
+    def exchange(self, line: str) -> str:
         self.link.sendall(line.encode() + b"\r\n")
         return self.read_line()
 
@@ -536,7 +536,7 @@
 
     def open(self, key: str = "k", names: str = "c=feed,d=1500,g=g1") -> str:
         self.id = f"{next(IDS):016x}"
-        return self.say(f"OPEN {self.id} {key} {names}")
+        return self.exchange(f"OPEN {self.id} {key} {names}")
 
 
 # Ports below the system's ephemeral range: a connection of a concurrent test could take an ephemeral port
@@ -580,7 +580,7 @@
             "known": {"revision": 7, "complete": True, "members": self.discovery.members},
             "settings": SETTINGS,
         } | other
-        self.told = config
+        self.config = config
         self.path = tmp / "config.json"
         self.path.write_text(json.dumps(config))
         self.log = tmp / "log"
@@ -603,7 +603,7 @@
 
     def answers(self) -> bool:
         with contextlib.suppress(OSError):
-            return self.client().say("PING") == "PONG"
+            return self.client().exchange("PING") == "PONG"
         return False
 
     def __exit__(self, *_: object) -> None:
@@ -615,7 +615,7 @@
         return Client(self.address)
 
     def reload(self, text: str | None = None, **other: object) -> None:
-        self.path.write_text(text or json.dumps(self.told | other))
+        self.path.write_text(text or json.dumps(self.config | other))
         self.process.send_signal(signal.SIGHUP)
 
     def pause(self) -> None:
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -26,7 +26,7 @@
         def call(method: object, *args: object) -> bool:
             if method == host.balancer.list_changed:
                 form, entries = args
-                host.tell(form, *entries)
+                host.update_list(form, *entries)
             else:
                 method(host.now, *args)
             return True
@@ -176,22 +176,22 @@
         assert call(control, "POST", "/control/backends/a/offline") == 200
         start = time.monotonic()
         # The list says that it is there, in part and whole, and that it was started anew; so does SIGHUP's.
-        relay.discovery.tell(backends[0].entry())
-        relay.discovery.tell(backends[0].entry() | {"up_since_ms": int(time.time() * 1000)})
+        relay.discovery.publish(backends[0].entry())
+        relay.discovery.publish(backends[0].entry() | {"up_since_ms": int(time.time() * 1000)})
         relay.reload()
-        asked = len(backends[0].heads)
+        asked = len(backends[0].open_lines)
         assert all(relay.client().open(f"new{number}") == "UP r" for number in range(10))
         moved = 0
         while moved < held and time.monotonic() - start < 6:
             moved = sum(end == "ended" for end in backends[0].ends)
             time.sleep(0.05)
-        assert moved >= held and len(backends[0].heads) == asked
+        assert moved >= held and len(backends[0].open_lines) == asked
         assert call(control, "POST", "/control/backends/a/online") == 200
         start = time.monotonic()
-        while len(backends[0].heads) == asked and time.monotonic() - start < 5:
+        while len(backends[0].open_lines) == asked and time.monotonic() - start < 5:
             assert relay.client().open(f"back{time.monotonic()}") == "UP r"
             time.sleep(0.1)
-        assert len(backends[0].heads) > asked
+        assert len(backends[0].open_lines) > asked
 
 
 def test_a_ban_on_all_declines_and_probes_nobody(tmp_path: Path) -> None:
@@ -200,12 +200,12 @@
         assert relay.client().open() == "UP r"
         assert call(control, "POST", "/control/backends/a/offline") == 200
         wait_until(lambda: backend.ends.count("ended") + backend.ends.count("reset") >= 2)
-        seen = len(backend.ends), len(backend.heads)
+        seen = len(backend.ends), len(backend.open_lines)
         time.sleep(2.5)
         assert relay.client().open() == "BUSY"
         before = relay.client().open("k", "c=feed,d=4294967,at=a")
         assert before == "ERR", "what was open there before, too"
-        assert seen == (len(backend.ends), len(backend.heads)), "neither tunnels nor probes"
+        assert seen == (len(backend.ends), len(backend.open_lines)), "neither tunnels nor probes"
         assert call(control, "POST", "/control/backends/a/online") == 200
 
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -22,7 +22,7 @@
 
 def test_a_key_keeps_its_cell_and_its_top_ranked_backend() -> None:
     host = host_with_backends(6, weighted=True)
-    host.tell(ListForm.CHANGES, list_entry(4, weight=9.0), list_entry(5, weight=9.0))
+    host.update_list(ListForm.CHANGES, list_entry(4, weight=9.0), list_entry(5, weight=9.0))
     backend_ids = set()
     for _ in range(4):
         connection_id = host.arrive(key="one")
@@ -33,7 +33,7 @@
 
 def test_keys_are_spread_over_cells_by_their_ready_backends() -> None:
     host = host_with_backends(1)
-    host.tell(
+    host.update_list(
         ListForm.WHOLE,
         *(list_entry(backend_id, cells=1) for backend_id in range(3)),
         list_entry(7)._replace(cell=1),
@@ -65,7 +65,7 @@
 def test_a_draining_backend_gets_no_new_connections() -> None:
     host = host_with_backends(4)
     first = placed(host, host.arrive(key="one"))
-    host.tell(ListForm.CHANGES, list_entry(first, BackendState.DRAINING))
+    host.update_list(ListForm.CHANGES, list_entry(first, BackendState.DRAINING))
     assert placed(host, host.arrive(key="one")) != first
 
 
@@ -116,7 +116,7 @@
     host = host_with_backends(2)
     host.run(SECOND)
     assert len(host.watches) == 1
-    host.tell(ListForm.UNAVAILABLE)
+    host.update_list(ListForm.UNAVAILABLE)
     host.run(2 * SECOND - MS)
     assert len(host.watches) == 1
     host.run(4 * SECOND + MS)
@@ -131,12 +131,12 @@
         host.run(5 * SECOND)
         for failures in range(6):
             requests = len(host.watches)
-            host.tell(ListForm.UNAVAILABLE)
+            host.update_list(ListForm.UNAVAILABLE)
             # While requests keep failing, four times the interval is allowed after the service's recovery.
             host.run(every * MS * 3 // 4 if not failures else 4 * max(every * MS, 500 * MS))
             assert len(host.watches) == requests + 1
-        host.tell(ListForm.CHANGES)
-        host.tell(ListForm.UNAVAILABLE)
+        host.update_list(ListForm.CHANGES)
+        host.update_list(ListForm.UNAVAILABLE)
         host.run(50 * MS - 1)
         assert len(host.watches) == requests + 1, "never immediately"
 
@@ -245,7 +245,7 @@
             host.open(connection_id)
         for backend_id in range(3):
             host.report(backend_id, 0.6)
-    host.tell(ListForm.CHANGES, list_entry(7, started=host.now - 2 * SECOND, cells=1))
+    host.update_list(ListForm.CHANGES, list_entry(7, started=host.now - 2 * SECOND, cells=1))
     for _ in range(6):
         for backend_id in range(3):
             host.report(backend_id, 1.4)
@@ -274,7 +274,7 @@
                 host.report(backend_id, 0.5)
             if (turn + relay_index) % 10 == 0:
                 host.end(host.arrive(key=f"{relay_index} {turn}"), Outcome.DONE)
-        host.tell(ListForm.CHANGES, list_entry(7, started=host.now - SECOND, cells=1))
+        host.update_list(ListForm.CHANGES, list_entry(7, started=host.now - SECOND, cells=1))
     # One connection each within 3 s, a third of the time between two: the budget is 25 of these 40.
     for relay_index, host in enumerate(hosts):
         host.run(relay_index * 75 * MS)
@@ -290,7 +290,7 @@
     remaining = []
     for host in hosts:
         host.adopt(0)
-        host.tell(ListForm.CHANGES, list_entry(0, BackendState.DRAINING))
+        host.update_list(ListForm.CHANGES, list_entry(0, BackendState.DRAINING))
     for _ in range(17):
         for host in hosts:
             host.run(250 * MS)
@@ -380,7 +380,7 @@
     host = host_with_backends(3, cells=1)
     top = placed(host, host.arrive(key="one"))
     host.now += 30 * SECOND
-    host.told[top] = 2.0
+    host.reported_loads[top] = 2.0
     host.probes.clear()
     assert placed(host, host.arrive(key="one")) != top
     assert 2 <= len(host.probes) <= MAX_PROBES_PER_PLACEMENT
@@ -446,7 +446,7 @@
     host = host_with_backends(6, asked=0.45, relays=3, cells=1)
     host.answers = True
     for backend_id in range(6):
-        host.told[backend_id] = 0.45
+        host.reported_loads[backend_id] = 0.45
         connection_id = host.arrive(key=f"first{backend_id}", hint=0.01)
         host.open(connection_id)
     for _ in range(12):
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -71,4 +71,4 @@
         assert not moved.calls
         resource.prlimit(relay.process.pid, resource.RLIMIT_NOFILE, limits)
         wait_until(lambda: bool(moved.calls), 2)
-        assert client.say("M 1") == "M 1"
+        assert client.exchange("M 1") == "M 1"
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -179,7 +179,7 @@
         assert all(client.open(str(number)) == "UP r" for number, client in enumerate(clients))
         idle, start = relay.client(), time.monotonic()
         assert [call(address, "POST", "/control/out-of-service") for _ in range(2)] == [200, 200]
-        assert relay.client().say("PING") == "ERR" and call(address, "GET", "/control/ready") == 503
+        assert relay.client().exchange("PING") == "ERR" and call(address, "GET", "/control/ready") == 503
         # One that was on its way still gets a final answer, and is moved with the others.
         late = relay.client()
         assert late.open("late") == "UP r"
@@ -188,8 +188,8 @@
         assert idle.read_line() == "" and time.monotonic() - start < 4
         # Who comes all the same after its time is sent away at once, and no backend hears of it.
         time.sleep(max(0, start + 3.5 - time.monotonic()))
-        seen = len(backend.heads)
-        assert relay.client().open("later") == "BUSY" and len(backend.heads) == seen
+        seen = len(backend.open_lines)
+        assert relay.client().open("later") == "BUSY" and len(backend.open_lines) == seen
         assert [call(address, "POST", "/control/in-service") for _ in range(2)] == [200, 200]
         assert relay.answers() and relay.client().open("again") == "UP r"
 
@@ -205,7 +205,7 @@
         there = 0
         for client in clients:
             with suppress(OSError):
-                there += client.say("M 1") == "M 1"
+                there += client.exchange("M 1") == "M 1"
         assert 0 < there < 20
 
 
@@ -214,7 +214,7 @@
     with running(tmp_path, backend) as (relay, address):
         client, start = relay.client(), time.monotonic()
         client.link.sendall(b"OPEN 00000000000000aa k c=bill,d=1500\r\n")
-        wait_until(lambda: len(backend.heads) == 1)
+        wait_until(lambda: len(backend.open_lines) == 1)
         assert call(address, "POST", "/control/out-of-service") == 200
         assert client.read_line() == "ERR" and time.monotonic() - start < 4
 
@@ -224,7 +224,7 @@
         assert call(address, "POST", "/control/out-of-service") == 200
         relay.reload()
         wait_until(lambda: b"configuration read again" in relay.log.read_bytes())
-        assert relay.client().say("PING") == "ERR", "a new configuration changes nothing of it"
+        assert relay.client().exchange("PING") == "ERR", "a new configuration changes nothing of it"
         relay.terminate()
         wait_until(lambda: b"stops within" in relay.log.read_bytes())
         assert call(address, "POST", "/control/in-service") == 409
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -71,7 +71,7 @@
     with RelayProgram(tmp_path, [backend]) as relay:
         for names in ("d=4294967,h=1812345.7,at=a", "d=1500,h=1812345.7", "d=1500,h=1e300"):
             client = relay.client()
-            assert client.open(names="c=feed," + names) == "UP r" and client.say("M 1") == "M 1"
+            assert client.open(names="c=feed," + names) == "UP r" and client.exchange("M 1") == "M 1"
         assert relay.client().open(names="c=feed,d=1500,h=-1") == "ERR"
 
 
@@ -80,11 +80,11 @@
 
 def keys_at(relay: RelayProgram, gone: Backend) -> int:
     """How many of a dozen newcomers the backend gets."""
-    before = len(gone.heads)
+    before = len(gone.open_lines)
     clients = [relay.client() for _ in range(12)]  # they stay, so that all who may be chosen are
     said = [client.open(f"{time.monotonic_ns()}", "c=feed,d=6000") for client in clients]
     assert said == ["UP r"] * 12, relay.log.read_text()
-    return len(gone.heads) - before
+    return len(gone.open_lines) - before
 
 
 @mark.parametrize(
@@ -101,7 +101,7 @@
         wait_until(lambda: relay.discovery.calls)
         relay.discovery.fall_silent(part)
         silent = time.monotonic()
-        relay.discovery.tell(backends[0].entry("draining"))
+        relay.discovery.publish(backends[0].entry("draining"))
         wait_until(lambda: relay.discovery.answered, 8)
         assert relay.discovery.answered[0] - silent < 5.3, "it counts as told after 6 s"
         assert not keys_at(relay, backends[0])
@@ -114,7 +114,7 @@
     with RelayProgram(tmp_path, backends, settings=PATIENT) as relay:
         wait_until(lambda: relay.discovery.calls)
         relay.pause()
-        relay.discovery.tell(backends[0].entry("draining"))
+        relay.discovery.publish(backends[0].entry("draining"))
         wait_until(lambda: relay.discovery.answered)
         time.sleep(3.3)  # past the longest wait of 2 s and what a call may take beyond
         relay.resume()
@@ -131,7 +131,7 @@
         wait_until(lambda: relay.discovery.calls)
         relay.discovery.go_down()
         wait_until(lambda: len(relay.discovery.calls) > 4)
-        relay.discovery.tell(backends[0].entry("draining"))
+        relay.discovery.publish(backends[0].entry("draining"))
         relay.discovery.down, back = False, time.monotonic()
         wait_until(lambda: relay.discovery.answered)
         assert relay.discovery.answered[0] - back < 0.25
@@ -151,7 +151,7 @@
         wait_until(lambda: len(relay.discovery.calls) > calls)
         relay.discovery.fall_silent()
         silent = time.monotonic()
-        relay.discovery.tell(backends[0].entry("draining"))
+        relay.discovery.publish(backends[0].entry("draining"))
         wait_until(lambda: relay.discovery.answered)
         assert relay.discovery.answered[0] - silent < 3.5  # by waits of 2 s at most here
         assert not keys_at(relay, backends[0])
@@ -163,8 +163,8 @@
     with RelayProgram(tmp_path, [backend], settings=PATIENT) as relay:
         clients = [relay.client() for _ in range(5)]
         assert {client.open(str(number)) for number, client in enumerate(clients)} == {"UP r"}
-        assert [client.say("M 1") for client in clients] == ["M 1"] * 5
-        backend.deaf = True  # what it hears meanwhile is answered by hand
+        assert [client.exchange("M 1") for client in clients] == ["M 1"] * 5
+        backend.unresponsive = True  # what it hears meanwhile is answered by hand
         for client in clients:
             client.link.sendall(b"M 2\r\n")
         time.sleep(0.1)
@@ -174,8 +174,8 @@
         time.sleep(3.2)
         relay.resume()
         assert [client.read_line() for client in clients] == ["M 2"] * 5
-        backend.deaf = False
-        assert [client.say("M 3") for client in clients] == ["M 3"] * 5
+        backend.unresponsive = False
+        assert [client.exchange("M 3") for client in clients] == ["M 3"] * 5
 
 
 def test_an_address_that_fails_is_told_though_the_one_before_had_failed_too(tmp_path: Path) -> None:
@@ -193,7 +193,7 @@
     def text_of(self, told: dict) -> bytes:
         return json.dumps(told, indent=4).encode()
 
-    def say(self, link: socket.socket, data: bytes) -> None:
+    def send(self, link: socket.socket, data: bytes) -> None:
         link.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for start in range(0, len(data), 7):
             link.sendall(data[start : start + 7])
@@ -206,7 +206,7 @@
         pieces = Pieces([backend.entry() for backend in backends])
         relay.reload(discovery=pieces.address)
         wait_until(lambda: len(pieces.calls) == 2)
-        pieces.tell(backends[0].entry("draining"))
+        pieces.publish(backends[0].entry("draining"))
         wait_until(lambda: len(pieces.calls) == 3)
         assert not keys_at(relay, backends[0])
 
@@ -241,7 +241,7 @@
         brief = Brief([backend.entry() for backend in backends])
         relay.reload(discovery=brief.address)
         wait_until(lambda: len(brief.answered) >= 1 and len(brief.calls) >= 2)
-        brief.tell(backends[0].entry("draining"))
+        brief.publish(backends[0].entry("draining"))
         wait_until(lambda: len(brief.answered) >= 2)
         time.sleep(0.05)
         assert not keys_at(relay, backends[0])
@@ -260,7 +260,7 @@
             wait_until(lambda: "WARNING discovery" in relay.log.read_text())
         else:
             relay.discovery.fall_silent(CHANGE[:-9] if "body" in trouble else b"")
-        relay.discovery.tell(backends[1].entry("draining"))
+        relay.discovery.publish(backends[1].entry("draining"))
         other = Discovery([backends[0].entry("draining"), backends[1].entry()])
         time.sleep(0.2)
         relay.reload(discovery=other.address)
@@ -292,9 +292,9 @@
 class Mum(Discovery):
     """Says nothing on its first connection."""
 
-    def say(self, link: socket.socket, data: bytes) -> None:
+    def send(self, link: socket.socket, data: bytes) -> None:
         if len(self.calls) > 1:
-            super().say(link, data)
+            super().send(link, data)
 
 
 def test_a_connect_to_discovery_that_hangs_is_given_up_and_made_again(tmp_path: Path) -> None:
@@ -318,7 +318,7 @@
         relay.reload(discovery=other.address)
         wait_until(lambda: len(other.calls) == 2, 2)
         assert backends[0].opened and not keys_at(relay, backends[0])
-        assert [client.say("M 1") for client in clients] == ["M 1"] * 8
+        assert [client.exchange("M 1") for client in clients] == ["M 1"] * 8
 
 
 # -- the end, and signals --------------------------------------------------------------------------
@@ -345,8 +345,8 @@
     def give(self) -> None:
         # What is read again later is a file.
         self.path.rename(self.path.with_name("pipe"))
-        self.path.write_text(json.dumps(self.told))
-        os.write(self.pipe, json.dumps(self.told).encode())
+        self.path.write_text(json.dumps(self.config))
+        os.write(self.pipe, json.dumps(self.config).encode())
         os.close(self.pipe)
 
 
@@ -370,10 +370,10 @@
     other = Discovery([backend.entry() for backend in backends])
     with Held(tmp_path, backends, settings=PATIENT) as relay:
         relay.process.send_signal(signal.SIGHUP)
-        old = relay.told
-        relay.told = old | {"discovery": other.address}
+        old = relay.config
+        relay.config = old | {"discovery": other.address}
         relay.path.rename(relay.path.with_name("pipe"))
-        relay.path.write_text(json.dumps(relay.told))
+        relay.path.write_text(json.dumps(relay.config))
         os.write(relay.pipe, json.dumps(old).encode())
         os.close(relay.pipe)
         wait_until(relay.answers)
@@ -429,7 +429,7 @@
         hung.link.sendall(b"OPEN 1 k c=feed,d=1500\r\n")
         once.link.sendall(b"OPEN 2 k c=bill,d=1500\r\n")
         pieces.link.sendall(b"OPEN 3 k c=feed,")
-        wait_until(lambda: sum(len(backend.heads) for backend in backends) >= 2)
+        wait_until(lambda: sum(len(backend.open_lines) for backend in backends) >= 2)
         relay.terminate()
         wait_until(lambda: "stops within" in relay.log.read_text())
         late = relay.client()
@@ -442,7 +442,7 @@
             assert client.read_line() in ("ERR", "BUSY") and client.read_line() == ""
         assert quiet.read_line() in ("", "reset"), "it has asked for nothing"
         assert ends(relay) == 0
-        assert sum(head.startswith("OPEN 2 ") for backend in backends for head in backend.heads) == 1
+        assert sum(head.startswith("OPEN 2 ") for backend in backends for head in backend.open_lines) == 1
 
 
 def test_an_answer_on_its_way_as_all_are_ended_reaches_its_client(tmp_path: Path) -> None:
@@ -450,7 +450,7 @@
     backend = Backend("a", "hang")
     with RelayProgram(tmp_path, [backend]) as relay:
         client = asks(relay, "c=bill,d=3000")
-        wait_until(lambda: backend.heads)
+        wait_until(lambda: backend.open_lines)
         relay.terminate()
         wait_until(lambda: "stops within" in relay.log.read_text())
         relay.pause()
@@ -496,7 +496,7 @@
     backends = [Backend("a", "hang"), Backend("b", "hang")]
     with RelayProgram(tmp_path, backends) as relay:
         client = asks(relay)
-        wait_until(lambda: any(backend.heads for backend in backends))
+        wait_until(lambda: any(backend.open_lines for backend in backends))
         relay.terminate()
         start = time.monotonic()
         assert client.read_line() in ("ERR", "BUSY") and client.read_line() == ""
@@ -605,12 +605,12 @@
         client = asks(relay)
         relay.until_paused()
         time.sleep(0.05)
-        sent = len(backend.heads)  # while the client was there
+        sent = len(backend.open_lines)  # while the client was there
         leave(client, abrupt)
         time.sleep(0.35)
         relay.resume()
         wait_until(lambda: holds(relay) <= before + 1)  # one for the probes that are kept
-        assert len(backend.heads) == sent
+        assert len(backend.open_lines) == sent
         assert relay.client().open() == "UP r"
 
 
@@ -627,7 +627,7 @@
             client.link.shutdown(socket.SHUT_WR)
         time.sleep(0.35)
         relay.resume()
-        assert client.read_line() == "ERR" and not backend.heads
+        assert client.read_line() == "ERR" and not backend.open_lines
         assert relay.client().open() == "UP r"
 
 
@@ -652,7 +652,7 @@
             if number % 8 == 7:
                 assert relay.client().open() == "UP r"
         wait_until(lambda: holds(relay) <= before + 2 + 5 * 2)
-        heads = sum(len(backend.heads) for backend in backends)
+        heads = sum(len(backend.open_lines) for backend in backends)
         assert heads == 6, f"{heads - 6} of 400 were sent on"
 
 
@@ -680,19 +680,19 @@
         backend.let.set()
         assert relay.client().open() == "UP r"
         time.sleep(0.35)
-        assert len(backend.heads) == 1
+        assert len(backend.open_lines) == 1
 
 
 def test_who_leaves_while_a_backend_hangs_is_not_set_up_at_the_other(tmp_path: Path) -> None:
     backends = [Backend("a", "hang"), Backend("b", "hang")]
     with RelayProgram(tmp_path, backends, settings=UNHURRIED) as relay:
         for abrupt in (False, True):
-            before = sum(len(backend.heads) for backend in backends)
+            before = sum(len(backend.open_lines) for backend in backends)
             client = asks(relay)
-            wait_until(lambda before=before: sum(len(backend.heads) for backend in backends) > before)
+            wait_until(lambda before=before: sum(len(backend.open_lines) for backend in backends) > before)
             leave(client, abrupt)
             time.sleep(1)  # past the time of the setup that hung
-            assert sum(len(backend.heads) for backend in backends) == before + 1
+            assert sum(len(backend.open_lines) for backend in backends) == before + 1
 
 
 @contextmanager
@@ -760,7 +760,7 @@
         time.sleep(0.35)
         relay.resume()
         assert relay.process.wait(timeout=5) == 0
-        assert not backend.heads
+        assert not backend.open_lines
 
 
 def test_who_is_moved_comes_again_and_leaves_is_not_sent_on(tmp_path: Path) -> None:
@@ -768,10 +768,10 @@
     with RelayProgram(tmp_path, backends, settings=UNHURRIED) as relay:
         clients = [relay.client() for _ in range(60)]
         assert {client.open(str(number)) for number, client in enumerate(clients)} == {"UP r"}
-        relay.discovery.tell(backends[0].entry("draining"))
+        relay.discovery.publish(backends[0].entry("draining"))
         time.sleep(2)  # half of the time in which a draining backend is emptied
         relay.pause()
-        heads = sum(len(backend.heads) for backend in backends)
+        heads = sum(len(backend.open_lines) for backend in backends)
         moved = []
         for client in clients:
             client.link.settimeout(0.01)
@@ -785,7 +785,7 @@
         relay.resume()
         assert relay.client().open() == "UP r"
         time.sleep(0.5)
-        assert sum(len(backend.heads) for backend in backends) == heads + 1
+        assert sum(len(backend.open_lines) for backend in backends) == heads + 1
 
 
 def test_a_look_that_nobody_waits_for_any_more_harms_no_member() -> None:
@@ -806,7 +806,7 @@
 def test_what_was_never_sent_costs_a_cold_member_nothing_of_its_budget() -> None:
     host = host_with_backends(3, cells=1)
     learn_loads(host)
-    host.tell(ListForm.CHANGES, list_entry(0, cells=1, started=START))
+    host.update_list(ListForm.CHANGES, list_entry(0, cells=1, started=START))
     cold = host.balancer.state.backends[0]
     host.run(3 * SECOND)
     cold.tokens = 1.5
@@ -853,7 +853,7 @@
         for number in range(3):
             # What was seen longer ago than that is looked at before it is chosen.
             time.sleep(2.1)
-            assert relay.client().open() == "UP r" and len(backend.heads) == number + 1
+            assert relay.client().open() == "UP r" and len(backend.open_lines) == number + 1
         assert backend.closed and "probe of a: False" not in relay.log.read_text()
         backend.socket.shutdown(2)
         backend.socket.close()
@@ -865,7 +865,7 @@
 
     def talk(self, link: socket.socket, lines: IO[bytes]) -> None:
         if lines.peek(1).startswith(b"OPEN"):
-            self.heads.append(lines.readline().decode().strip())
+            self.open_lines.append(lines.readline().decode().strip())
             while True:
                 link.sendall(b"z" * 4096)
         super().talk(link, lines)
@@ -875,7 +875,7 @@
     """Takes what comes and says nothing, not even to a probe."""
 
     def talk(self, link: socket.socket, lines: IO[bytes]) -> None:
-        self.heads += [line.decode().strip() for line in iter(lines.readline, b"")]
+        self.open_lines += [line.decode().strip() for line in iter(lines.readline, b"")]
 
 
 def pages(relay: RelayProgram) -> int:
@@ -898,7 +898,7 @@
         clients = [relay.client() for _ in range(10)]
         assert {client.open(names="c=feed,d=3000") for client in clients} == {"UP r"}
         if kind is Endless:
-            assert bad.heads, "it was tried"
+            assert bad.open_lines, "it was tried"
         for client in clients:
             client.close()
         wait_until(lambda: holds(relay) <= descriptors + 1)  # one for the other's probes, which is kept
@@ -927,8 +927,8 @@
     wait_until(lambda: relay.discovery.calls)
     client = asks(relay, f"c={name},d=3000")
     relay.until_paused()
-    wait_until(lambda: any(backend.heads for backend in relay.backends))
-    first, other = sorted(relay.backends, key=lambda backend: not backend.heads)
+    wait_until(lambda: any(backend.open_lines for backend in relay.backends))
+    first, other = sorted(relay.backends, key=lambda backend: not backend.open_lines)
     other.modes = ["UP r"]
     if word == "reset":
         # Its thread reads on it: told that nothing more comes, that closes it, which resets it.
@@ -938,7 +938,7 @@
     else:
         first.last.sendall(b"".join(part.encode() + b"\r\n" for part in word.split("|")))
     if beside == "drains":
-        relay.discovery.tell(other.entry("draining"))
+        relay.discovery.publish(other.entry("draining"))
     elif beside:
         leave(client, abrupt=beside == "resets")
     time.sleep(0.8)  # past the setup's time-out, within the client's wait
@@ -960,9 +960,9 @@
         client, (first, other) = late_word(relay, word, name)
         again = name in LATE_WORDS[word]
         assert client.read_line() == ("UP late" if word.startswith("UP") else "UP r" if again else "ERR")
-        assert (len(first.heads), len(other.heads)) == (1, again)
+        assert (len(first.open_lines), len(other.open_lines)) == (1, again)
         if word.startswith("UP") or again:
-            assert client.say("M 1") == "M 1", "and nothing more of the first one's"
+            assert client.exchange("M 1") == "M 1", "and nothing more of the first one's"
 
 
 @mark.parametrize("beside", ["drains", "leaves", "resets"])
@@ -978,9 +978,9 @@
             assert client.read_line() in ("BUSY", "ERR") and client.read_line() == ""
         wait_until(lambda: relay.answers())
         time.sleep(0.3)
-        assert not other.heads
+        assert not other.open_lines
         # Repeatable, and nobody else is left: the first may be asked once more while its client waits.
-        assert len(first.heads) == 1 or (beside == "drains" and word == "reset")
+        assert len(first.open_lines) == 1 or (beside == "drains" and word == "reset")
 
 
 @mark.parametrize("name", ["feed", "bill", "mark"])
@@ -1058,7 +1058,7 @@
             assert relay.process.wait(timeout=6) == 0
         elif end == "late":
             wait_until(relay.ready)
-        assert before.say("M 1") == "M 1"
+        assert before.exchange("M 1") == "M 1"
         holds_together(relay)
 
 
@@ -1091,7 +1091,7 @@
         assert waits.read_line() == "UP r"
         wait_until(relay.ready)
         if end == "late":
-            assert before.say("M 1") == "M 1"
+            assert before.exchange("M 1") == "M 1"
         holds_together(relay)
 
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -50,7 +50,7 @@
         assert [client.read_line() for client in slow] == ["UP r"] * 3
         # One that is quick is served besides, and the crowd does not end the relay.
         quick = relay.client()
-        assert quick.open() == "UP r" and [client.say("M 1") for client in slow] == ["M 1"] * 3
+        assert quick.open() == "UP r" and [client.exchange("M 1") for client in slow] == ["M 1"] * 3
 
 
 def test_who_gives_up_between_its_request_and_the_answer_leaves_nothing_behind(tmp_path: Path) -> None:
@@ -59,7 +59,7 @@
         for number in range(60):
             client = relay.client()
             client.link.sendall(f"OPEN {number:016x} k c=bill,d=1500,g=g1\r\n".encode())
-            wait_until(lambda number=number: len(backend.heads) > number)
+            wait_until(lambda number=number: len(backend.open_lines) > number)
             client.close()
         wait_until(lambda: len(backend.ends) >= 60)
         backend.modes = ["UP r"]
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -253,6 +253,6 @@
         clients = [relay.client() for _ in range(6)]
         names = f"c={name},d=1500,g=g"
         assert {client.open(str(number), names) for number, client in enumerate(clients)} == {"UP r"}
-        assert clients[0].say("M 1") == "M 1"
+        assert clients[0].exchange("M 1") == "M 1"
         assert len(relay.discovery.calls) < 20, "discovery must not be overloaded by calls"
         assert "failed" not in relay.log.read_text()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -147,7 +147,7 @@
             wait_until(lambda count=count: len(stream.answers) > count + 20)
         stream.end()
         assert set(stream.answers) == {"UP r"}, "nobody was turned back or lost"
-        assert len(backend.heads) == len(stream.answers) + others, "and nobody set up twice"
+        assert len(backend.open_lines) == len(stream.answers) + others, "and nobody set up twice"
 
 
 @contextmanager
@@ -185,7 +185,7 @@
             link.sendall(json.dumps({"version": VERSION, "name": "n0"}).encode() + b"\n")
             assert link.recv(1), "its answer has begun"
             start = time.monotonic()
-            assert relay.client().say("PING") == "PONG" and 1 < time.monotonic() - start < 3
+            assert relay.client().exchange("PING") == "PONG" and 1 < time.monotonic() - start < 3
         assert relay.next() < 6
 
 
@@ -215,22 +215,22 @@
         assert relay.next() < 6
         old, new = relay.controls
         assert all(relay.client().open(str(key)) == "UP r" for key in range(8))
-        assert not backends[0].heads, "the ban has come over"
+        assert not backends[0].open_lines, "the ban has come over"
         # To the old one, while both are there; and to the new one.
         assert call(old, "POST", "/control/backends/b/offline") == 200
         assert relay.client().open("none") == "BUSY"
         assert call(new, "POST", "/control/backends/a/online") == 200
         assert call(old, "POST", "/control/backends/x/online") == 404
         assert call(old, "POST", "/control/out-of-service") == 200
-        assert relay.client().say("PING") == "ERR"
+        assert relay.client().exchange("PING") == "ERR"
         relay.processes[0].terminate()
         assert relay.processes[0].wait(timeout=4) == 0
-        assert relay.client().say("PING") == "ERR" and not relay.ready()
+        assert relay.client().exchange("PING") == "ERR" and not relay.ready()
         # One that takes over while out of service says yes, for the one before waits for that, and stays out.
         assert relay.next() < 6
-        assert relay.client().say("PING") == "ERR"
+        assert relay.client().exchange("PING") == "ERR"
         assert call(relay.controls[-1], "POST", "/control/in-service") == 200
-        assert relay.client().say("PING") == "PONG"
+        assert relay.client().exchange("PING") == "PONG"
 
 
 def test_an_id_that_is_open_at_the_process_before_is_refused(tmp_path: Path) -> None:
@@ -239,24 +239,24 @@
         assert client.open() == "UP r"
         assert relay.next() < 6
         again = f"OPEN {client.id} k c=feed,d=1500,g=g1"
-        assert relay.client().say(again) == "ERR"
+        assert relay.client().exchange(again) == "ERR"
         relay.processes[0].terminate()
         assert client.read_line() == "MOVE"
         relay.processes[0].wait(timeout=4)
         wait_until(lambda: relay.said("the process before has ended"))
-        assert relay.client().say(again) == "UP r"
+        assert relay.client().exchange(again) == "UP r"
 
 
 def test_a_drain_that_the_old_process_was_told_of_holds_at_the_new_one_from_its_start(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
     with restartable_relay(tmp_path, *backends) as relay:
-        relay.discovery.tell(backends[0].entry("draining"))
+        relay.discovery.publish(backends[0].entry("draining"))
         wait_until(lambda: len(relay.discovery.calls) > 1)
         # Discovery is deaf from here on, and what the new process was started with is older.
         relay.discovery.broken = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
         assert relay.next() < 6
         assert all(relay.client().open(str(key)) == "UP r" for key in range(8))
-        assert not backends[0].heads
+        assert not backends[0].open_lines
 
 
 def answer_nonsense(liar: socket.socket) -> None:
@@ -287,7 +287,7 @@
                     link.sendall(said)
                     link.shutdown(socket.SHUT_WR)
                     assert b"estate" not in link.makefile("rb").read()
-            assert relay.client().say("PING") == "PONG" and relay.ready()
+            assert relay.client().exchange("PING") == "PONG" and relay.ready()
         # A left-over file of no process, and one that talks nonsense by the name of a process that is newer
         # than the relay's, which is asked first.
         (relay.folder / path.name.replace(str(relay.process.pid), "1")).touch()
@@ -327,7 +327,7 @@
         assert both <= 150
         relay.processes[0].terminate()
         assert relay.processes[0].wait(timeout=4) == 0
-        wait_until(lambda: relay.client().say("PING") == "PONG", 3)
+        wait_until(lambda: relay.client().exchange("PING") == "PONG", 3)
 
 
 def test_a_folder_of_any_length_serves(tmp_path: Path) -> None:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -163,7 +163,7 @@
         assert failed.open(names="c=bill,d=1500") == "ERR"
         backends[0].modes = ["UP r"]
         wait_until(lambda: silent.open() == "UP r")
-        backends[0].deaf = True
+        backends[0].unresponsive = True
         silent.link.sendall(b"M 1\r\n")
         assert silent.read_line() == "MOVE"
         relay.process.send_signal(signal.SIGTERM)
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -38,12 +38,14 @@
         self.rng = random.Random(5)
         for index, settings in enumerate(self.relay_settings):
             host = RuleCheckingHost(make_settings(relay_index=index, seed=index, zone=index % 2, **settings))
-            host.tell(ListForm.RESTORED, *(list_entry(backend_id, cells=4) for backend_id in range(COLD_ID)))
+            host.update_list(
+                ListForm.RESTORED, *(list_entry(backend_id, cells=4) for backend_id in range(COLD_ID))
+            )
             self.hosts.append(host)
 
     def update_list(self, entry) -> None:
         for host in self.hosts:
-            host.tell(ListForm.CHANGES, entry)
+            host.update_list(ListForm.CHANGES, entry)
 
     def run(self, until: int, rate: float) -> None:
         """Simulates clients that arrive at a rate per second and stay for 8 s on average."""
@@ -77,7 +79,7 @@
         count = self.counts["old" if host.settings.relays == OLD["relays"] else "new"]
         count[0] += 1
         for backend_id in host.balancer.state.backends:
-            host.told[backend_id] = self.connections.get(backend_id, 0) / FULL_CONNECTIONS
+            host.reported_loads[backend_id] = self.connections.get(backend_id, 0) / FULL_CONNECTIONS
         key = f"client {self.rng.randrange(400)}"
         connection_id = host.arrive(key=key, group=f"firm {self.rng.randrange(20)}", budget=2 * SECOND)
         request = host.requests[connection_id]
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -114,7 +114,7 @@
         fleet.programs[3].terminate()
         wait_until(lambda: fleet.view(0)["n3"] == "left" and fleet.view(2)["n3"] == "left", 6)
         assert [line["peer"] for line in logged(fleet.programs[0], "peers.dead")] == ["n1", "n2"]
-        assert client.say("M 1") == "M 1" and fleet.programs[2].client().open() == "UP r"
+        assert client.exchange("M 1") == "M 1" and fleet.programs[2].client().open() == "UP r"
 
 
 def test_after_a_hot_restart_and_a_kill_during_one_all_views_agree(tmp_path: Path) -> None:
--- a/tests/test_policy_groups.py
+++ b/tests/test_policy_groups.py
@@ -21,7 +21,7 @@
     backends = [
         list_entry(number)._replace(zone=number % zones, cell=number % (2 * zones)) for number in range(12)
     ]
-    host.tell(ListForm.RESTORED, *backends)
+    host.update_list(ListForm.RESTORED, *backends)
     for backend in backends:
         host.report(backend.backend_id, 0.3)
     host.run(SECOND)
@@ -93,7 +93,7 @@
 def test_few_overloaded_backends_are_no_sample_of_the_fleet(grouped: bool) -> None:
     """First reports are from backends of own clients: based on one of 54, most arrivals were rejected."""
     host = RuleCheckingHost(make_settings(grouped=grouped, relays=200, probes=False))
-    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(54)))
+    host.update_list(ListForm.RESTORED, *(list_entry(number) for number in range(54)))
     for _ in range(20):
         host.report(0, 1.05)
         host.run(SECOND // 4)
@@ -110,7 +110,7 @@
 
 def test_old_reports_cause_no_rejections() -> None:
     host = RuleCheckingHost(make_settings(grouped=True, relays=200, probes=False))
-    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(54)))
+    host.update_list(ListForm.RESTORED, *(list_entry(number) for number in range(54)))
     for backend_id in range(8):
         host.report(backend_id, 1.05)
     host.run(20 * SECOND)
@@ -122,7 +122,9 @@
 def test_backends_of_a_host_type_of_unknown_capacity_are_weighted_like_the_others() -> None:
     """Their weight was 1 next to millions, in the unit of the loads, so only own backends counted."""
     host = RuleCheckingHost(make_settings(relays=2))
-    host.tell(ListForm.RESTORED, *(list_entry(number)._replace(host_type=number // 4) for number in range(8)))
+    host.update_list(
+        ListForm.RESTORED, *(list_entry(number)._replace(host_type=number // 4) for number in range(8))
+    )
     state = host.balancer.state
     for backend_id in range(4):
         host.adopt(backend_id, hint=20_000.0)
@@ -139,7 +141,7 @@
 def test_without_any_reports_cold_backends_get_a_cautious_part_of_their_budget() -> None:
     """Reports may arrive only with answers: the budget of a whole warm-up was unused."""
     host = RuleCheckingHost(make_settings(relays=1, probes=False))
-    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(8)))
+    host.update_list(ListForm.RESTORED, *(list_entry(number) for number in range(8)))
     for number in range(80):
         host.open(host.arrive(key=str(number)))
     host.run(SECOND)
--- a/tests/test_policy_overload.py
+++ b/tests/test_policy_overload.py
@@ -34,7 +34,7 @@
     adopted, the mean was 2.06 (fleet 0.80), 1.35 (0.67) and 2.41 (1.05), and the shed fraction 0.76 to 0.98.
     """
     host = RuleCheckingHost(make_settings(relays=4))
-    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(4)))
+    host.update_list(ListForm.RESTORED, *(list_entry(number) for number in range(4)))
     for number in range(40):
         host.adopt(number % 4, hint=10.0)
     for backend_id in range(4):
@@ -45,7 +45,7 @@
 def test_a_load_that_becomes_known_after_a_report_is_not_counted_on_top_of_it() -> None:
     """The load of an adopted connection may be unknown at first and become known by its messages."""
     host = RuleCheckingHost(make_settings(relays=4))
-    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(4)))
+    host.update_list(ListForm.RESTORED, *(list_entry(number) for number in range(4)))
     connections = [host.adopt(number % 4) for number in range(40)]
     for connection_id in connections[:36]:
         host.balancer.load_changed(host.now, connection_id, 10.0)
@@ -59,7 +59,7 @@
 def test_the_mean_load_does_not_depend_on_where_a_relays_own_connections_are() -> None:
     """Capacities are estimated from own connections, so a backend with many of them seems to have more."""
     host = RuleCheckingHost(make_settings(relays=40))
-    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(8)))
+    host.update_list(ListForm.RESTORED, *(list_entry(number) for number in range(8)))
     for number in range(9):
         host.adopt(0 if number < 8 else 1, hint=1.0)
     host.run(SECOND)
@@ -77,7 +77,7 @@
     was 1.58, the fleet's 0.57 as the others were idle, and the relay rejected 1,023 of 1,176 requests.
     """
     host = RuleCheckingHost(make_settings(relays=1, probes=False))
-    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(12)))
+    host.update_list(ListForm.RESTORED, *(list_entry(number) for number in range(12)))
     for number in range(120):
         host.adopt(number % 4, hint=1.0)
     for backend_id in range(4):
@@ -87,7 +87,7 @@
 
 def test_with_almost_no_clients_here_backends_without_any_are_not_taken_as_idle() -> None:
     host = RuleCheckingHost(make_settings(relays=230, probes=False))
-    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(54)))
+    host.update_list(ListForm.RESTORED, *(list_entry(number) for number in range(54)))
     for backend_id in range(5):
         host.adopt(backend_id, hint=1.0)
         host.report(backend_id, 0.9)
@@ -97,7 +97,7 @@
 def test_with_probes_only_backends_with_reports_count() -> None:
     """Probes reach all backends in turn, so those without a report yet are like those with one."""
     host = RuleCheckingHost(make_settings(relays=1, probes=True))
-    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(12)))
+    host.update_list(ListForm.RESTORED, *(list_entry(number) for number in range(12)))
     for number in range(120):
         host.adopt(number % 4, hint=1.0)
     for backend_id in range(4):
@@ -112,7 +112,7 @@
 def few_overloaded_backends(relays: int) -> RuleCheckingHost:
     """A relay that knows 54 backends and has recent reports of four, all of them overloaded."""
     host = RuleCheckingHost(make_settings(relays=relays, grouped=True), answers=False)
-    host.tell(ListForm.RESTORED, *(list_entry(number) for number in range(54)))
+    host.update_list(ListForm.RESTORED, *(list_entry(number) for number in range(54)))
     for backend_id in range(4):
         host.adopt(backend_id, hint=1.0)
         host.report(backend_id, 1.1)
@@ -157,7 +157,7 @@
 def full_fleet(**other: object) -> RuleCheckingHost:
     """A relay that sheds all arrivals, and eight backends that all report an overload."""
     host = RuleCheckingHost(make_settings(relays=40, probes=False, grouped=True, **other))
-    host.tell(ListForm.RESTORED, *(list_entry(number, cells=2) for number in range(8)))
+    host.update_list(ListForm.RESTORED, *(list_entry(number, cells=2) for number in range(8)))
     host.run(3 * SECOND)
     overload(host)
     return host
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -19,10 +19,10 @@
     with RelayProgram(tmp_path, [backend]) as relay:
         client = relay.client()
         assert client.open("some/key", "c=feed,d=1500,g=g1,again=1") == "UP r"
-        start, d, rest = backend.heads[0].replace(",", " ", 1).partition("d=")
+        start, d, rest = backend.open_lines[0].replace(",", " ", 1).partition("d=")
         assert start == f"OPEN {client.id} some/key c=feed " and d
         assert 0 < int(rest.split(",")[0]) < 1500 and rest.endswith(",g=g1,again=1")
-        assert client.say("M 1") == "M 1"
+        assert client.exchange("M 1") == "M 1"
         backend.opened[0].sendall(b"LOAD 12.5\r\nBYE\r\n")
         backend.opened[0].shutdown(1)
         assert [client.read_line() for _ in range(3)] == ["LOAD 12.5", "BYE", ""]
@@ -34,7 +34,7 @@
         first.modes = second.modes  # the one attempted second accepts
         with RelayProgram(tmp_path, [first, second]) as relay:
             assert relay.client().open() == "UP r"
-            assert len(first.heads) == len(second.heads) == 1
+            assert len(first.open_lines) == len(second.open_lines) == 1
             assert mode != "hang" or "reset" in first.ends + second.ends, "an abandoned attempt must be reset"
 
 
@@ -42,7 +42,7 @@
     backends = [Backend("a", "ERR"), Backend("b", "ERR")]
     with RelayProgram(tmp_path, backends) as relay:
         assert relay.client().open(names="c=bill,d=1500") == "ERR"
-        assert sum(len(backend.heads) for backend in backends) == 1
+        assert sum(len(backend.open_lines) for backend in backends) == 1
 
 
 def test_a_request_that_no_backend_accepts_is_answered_before_the_client_gives_up(tmp_path: Path) -> None:
@@ -61,12 +61,12 @@
 def test_a_connection_that_was_open_before_goes_to_its_backend_and_no_other(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b", "BUSY", "UP r")]
     with RelayProgram(tmp_path, backends) as relay:
-        relay.discovery.tell(backends[1].entry("draining"))
+        relay.discovery.publish(backends[1].entry("draining"))
         wait_until(lambda: len(relay.discovery.calls) > 1)
         client = relay.client()
         assert client.open("k", "c=feed,d=4294967,at=b") == "UP r"
-        assert not backends[0].heads
-        assert backends[1].heads == [f"OPEN {client.id} k c=feed,d=4294967,at=b"] * 2
+        assert not backends[0].open_lines
+        assert backends[1].open_lines == [f"OPEN {client.id} k c=feed,d=4294967,at=b"] * 2
         # Once new requests arrive, all connections that were open before are open again. A later request of
         # this kind is not genuine, and is attempted once.
         assert relay.client().open() == "UP r"
@@ -81,7 +81,7 @@
         assert all(client.open() == "UP r" for client in clients)
         start = time.monotonic()
         backend.opened[0].shutdown(1)
-        assert [clients[0].read_line(), clients[1].say("RESET")] == ["", "reset"]
+        assert [clients[0].read_line(), clients[1].exchange("RESET")] == ["", "reset"]
         # The backend sees the ends of these two a little later.
         wait_until(lambda: len(backend.ends) == 2)
         backend.ends.clear()
@@ -97,9 +97,9 @@
     with RelayProgram(tmp_path, [backend]) as relay:
         client = relay.client()
         assert client.open() == "UP r"
-        backend.deaf = True
+        backend.unresponsive = True
         start = time.monotonic()
-        assert client.say("M 1") == "MOVE" and client.read_line() == ""
+        assert client.exchange("M 1") == "MOVE" and client.read_line() == ""
         assert time.monotonic() - start < 5
         wait_until(lambda: "ended" in backend.ends)
 
@@ -111,10 +111,10 @@
         assert all(client.open(str(number)) == "UP r" for number, client in enumerate(clients))
         held = len(backends[0].opened)
         assert 0 < held < 12
-        relay.discovery.tell(backends[0].entry("draining"))
+        relay.discovery.publish(backends[0].entry("draining"))
         wait_until(lambda: len(relay.discovery.calls) > 1)
         assert all(relay.client().open(f"new {number}".replace(" ", "")) == "UP r" for number in range(6))
-        assert len(backends[0].heads) == held
+        assert len(backends[0].open_lines) == held
         moved = []
         for client in clients:
             client.link.settimeout(0.2)
@@ -142,19 +142,19 @@
         discovery = relay.discovery
         wait_until(lambda: len(discovery.calls) == 1)
         assert "since=7&" in discovery.calls[0][1]
-        discovery.tell(late.entry())
+        discovery.publish(late.entry())
         wait_until(lambda: len(discovery.calls) == 2)
         assert "since=8&" in discovery.calls[1][1]
         assert discovery.calls[1][0] - discovery.answered[0] < 0.2
         for number, answer in enumerate(broken):
             discovery.broken = answer
-            discovery.tell()
+            discovery.publish()
             wait_until(lambda number=number: len(discovery.calls) >= 4 + number)
         discovery.broken = None
         backend.modes = ["hang"]
-        discovery.tell(backend.entry("removed"))
+        discovery.publish(backend.entry("removed"))
         wait_until(lambda: f"since={discovery.revision}&" in discovery.calls[-1][1])
-        assert relay.client().open() == "UP r" and late.heads and not backend.heads
+        assert relay.client().open() == "UP r" and late.open_lines and not backend.open_lines
 
 
 def test_an_answer_that_arrived_while_the_relay_was_paused_counts(tmp_path: Path) -> None:
@@ -167,13 +167,13 @@
     with RelayProgram(tmp_path, backends) as program:
         client = program.client()
         client.link.sendall(b"OPEN 77 k c=feed,d=3000,g=g1\r\n")
-        wait_until(lambda: backends[0].heads)
+        wait_until(lambda: backends[0].open_lines)
         program.process.send_signal(signal.SIGSTOP)
         backends[0].last.sendall(b"UP late\r\n")
         time.sleep(1)
         program.process.send_signal(signal.SIGCONT)
         assert client.read_line() == "UP late"
-        assert len(backends[0].heads) == 1
+        assert len(backends[0].open_lines) == 1
 
 
 @mark.parametrize("inconsistency", [{"back": 3}, {"twice": True}])
@@ -187,15 +187,15 @@
         wait_until(lambda: discovery.calls)
         for draining, left in (backends, backends[::-1]):
             discovery.members = [draining.entry("draining"), left.entry()]
-            before, asked = len(left.heads), len(discovery.calls)
-            discovery.tell(*discovery.members)
+            before, asked = len(left.open_lines), len(discovery.calls)
+            discovery.publish(*discovery.members)
             time.sleep(0.5)
             assert program.client().open(f"k{before}") == "UP r"
-            assert len(left.heads) == before + 1, "the drain must be known"
+            assert len(left.open_lines) == before + 1, "the drain must be known"
             assert len(discovery.calls) - asked < 16, "discovery must not be overloaded by calls"
         vars(discovery).update({"back": 0, "twice": False})
         discovery.members = [backend.entry() for backend in backends]
-        discovery.tell(*discovery.members)
+        discovery.publish(*discovery.members)
         time.sleep(0.5)
         asked = len(discovery.calls)
         time.sleep(0.5)
@@ -229,7 +229,9 @@
             client = relay.client()
             client.link.sendall(line)
             assert client.read_line() == "ERR" and client.read_line() in ("", "reset"), line
-        assert not any(backend.heads for backend in backends), "no backend may get a request that was refused"
+        assert not any(backend.open_lines for backend in backends), (
+            "no backend may get a request that was refused"
+        )
         # Warnings are rate limited: an hour of bad input must not fill the log.
         assert relay.log.read_text().count("WARNING client") < 10
         half = relay.client()
@@ -276,7 +278,7 @@
         )
         relay.terminate()
         time.sleep(0.6)
-        assert [client.say("M 1") for client in clients] == ["M 1"] * 8
+        assert [client.exchange("M 1") for client in clients] == ["M 1"] * 8
         assert [client.read_line() for client in clients] == ["MOVE"] * 8
         wait_until(lambda: relay.process.poll() is not None, 3)
         assert relay.process.returncode == 0
@@ -300,10 +302,10 @@
             client.open(str(number), "c=feed,d=1500,r=1,again=1") for number, client in enumerate(again)
         ] == ["UP r"] * 6
         relay.discovery.broken = None
-        relay.discovery.tell(backends[0].entry("removed"))
+        relay.discovery.publish(backends[0].entry("removed"))
         wait_until(lambda: any("since=8&" in target for _, target in relay.discovery.calls))
-        held = len(backends[0].heads)
-        assert relay.client().open("new") == "UP r" and len(backends[0].heads) == held
+        held = len(backends[0].open_lines)
+        assert relay.client().open("new") == "UP r" and len(backends[0].open_lines) == held
 
 
 def test_a_backend_that_resets_right_after_its_answer_does_not_lose_the_answer(tmp_path: Path) -> None:
@@ -333,12 +335,12 @@
         first, again = relay.client(), relay.client()
         line = "OPEN one k c=feed,d=1500"
         first.link.sendall(line.encode() + b"\r\n")
-        assert again.say(line) == "ERR" and first.read_line() == "UP r"
-        assert relay.client().say(line) == "ERR"
-        assert first.say("M 1") == "M 1", "the first request of the id must be unaffected"
+        assert again.exchange(line) == "ERR" and first.read_line() == "UP r"
+        assert relay.client().exchange(line) == "ERR"
+        assert first.exchange("M 1") == "M 1", "the first request of the id must be unaffected"
         first.close()
         wait_until(lambda: "ended" in backends[0].ends + backends[1].ends)
-        assert relay.client().say(line + ",again=1") == "UP r"
+        assert relay.client().exchange(line + ",again=1") == "UP r"
 
 
 def test_data_after_the_open_line_ends_a_waiting_client(tmp_path: Path) -> None:
@@ -347,8 +349,8 @@
     with RelayProgram(tmp_path, [backend]) as relay:
         client = relay.client()
         client.link.sendall(b"OPEN 1 k c=bill,d=1500\r\n")
-        wait_until(lambda: backend.heads)
-        assert client.say("M")[:3] == "ERR"
+        wait_until(lambda: backend.open_lines)
+        assert client.exchange("M")[:3] == "ERR"
         wait_until(lambda: backend.ends)
         other, start = relay.client(), time.monotonic()
         assert other.open("k", "c=feed,d=4294967,at=nowhere") == "ERR" and time.monotonic() - start < 2.9
@@ -360,7 +362,7 @@
         start = time.monotonic()
         half.link.sendall(b"OPEN 1 k c=")
         for _ in range(4):
-            assert pings.say("PING") == "PONG"
+            assert pings.exchange("PING") == "PONG"
             time.sleep(0.5)
         assert [client.read_line() for client in (silent, half, pings)] == [""] * 3
         assert 2 < time.monotonic() - start < 2.9
@@ -378,7 +380,7 @@
             client = relay.client()
             assert client.open(str(number)) == "UP r"
             silent_clients.append(client)  # and stays open
-        assert relay.client().say("PING") == "PONG"
+        assert relay.client().exchange("PING") == "PONG"
         assert "left" not in relay.log.read_text()
 
 
@@ -434,14 +436,14 @@
         relay.reload(discovery=others[1].address)
         with relay.discovery.changed:
             relay.discovery.broken = b" "  # so that its call ends, and its answer is ignored
-            relay.discovery.tell()
+            relay.discovery.publish()
         wait_until(lambda: relay.discovery.ended == 1)
         relay.terminate()
         relay.reload(discovery=others[0].address)
         wait_until(lambda: "stops within" in relay.log.read_text() and len(others[0].calls) > 2)
-        others[0].tell(backends[0].entry("removed"))
+        others[0].publish(backends[0].entry("removed"))
         wait_until(lambda: "since=4&" in others[0].calls[-1][1])
-        assert relay.client().open("k2") == "UP r" and late.heads
+        assert relay.client().open("k2") == "UP r" and late.open_lines
         assert client.read_line() == "MOVE"
         wait_until(lambda: relay.process.poll() is not None, 3)
         assert relay.process.returncode == 0 and "discovery: " not in relay.log.read_text()
@@ -450,7 +452,7 @@
 def test_an_invalid_new_configuration_is_one_log_line_and_changes_nothing(tmp_path: Path) -> None:
     with RelayProgram(tmp_path, [Backend("a")]) as relay:
         start = len(relay.log.read_text().splitlines())
-        moved = json.dumps(relay.told | {"settings": relay.told["settings"] | {"zone": "nowhere"}})
+        moved = json.dumps(relay.config | {"settings": relay.config["settings"] | {"zone": "nowhere"}})
         for number, text in enumerate(("{", "[]", '{"name":"n"}', "[" * 9999, moved), start):
             relay.reload(text)
             wait_until(lambda number=number: len(relay.log.read_text().splitlines()) > number)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -55,7 +55,7 @@
                 over_quota_value_factor=0.1,
             )
         )
-        self.host.tell(
+        self.host.update_list(
             ListForm.RESTORED,
             *(list_entry(backend_id, weight=1.0 + backend_id % 3, cells=cells) for backend_id in range(4)),
         )
@@ -126,11 +126,11 @@
     @rule(backend_id=BACKEND_IDS, standing=st.sampled_from(BackendState), restarted=st.booleans())
     def change(self, backend_id: int, standing: BackendState, restarted: bool) -> None:
         started = self.host.now if restarted else 0
-        self.host.tell(ListForm.CHANGES, list_entry(backend_id, standing, started, self.cells))
+        self.host.update_list(ListForm.CHANGES, list_entry(backend_id, standing, started, self.cells))
 
     @rule(backend_ids=st.sets(BACKEND_IDS), form=st.sampled_from([ListForm.WHOLE, ListForm.UNAVAILABLE]))
     def relist(self, backend_ids: set[int], form: ListForm) -> None:
-        self.host.tell(
+        self.host.update_list(
             form, *(list_entry(backend_id, cells=self.cells) for backend_id in sorted(backend_ids))
         )
 
@@ -183,7 +183,7 @@
         for backend_id in range(4):
             host.report(backend_id, load)
         host.run(SECOND)
-        host.tell(ListForm.CHANGES, list_entry(9, started=started))
+        host.update_list(ListForm.CHANGES, list_entry(9, started=started))
     for number in range(rush * 12):
         host = hosts[number * 7 % relays]
         host.run(deployment.start_time + 2 * SECOND + number * SECOND // rush - host.now)
@@ -239,7 +239,7 @@
             else (BackendState.DRAINING, BackendState.READY)
         )
         for standing in changes:
-            host.tell(
+            host.update_list(
                 ListForm.CHANGES,
                 *(list_entry(backend_id, standing, cells=cells) for backend_id in range(size)),
             )
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -201,7 +201,7 @@
     with RelayProgram(tmp_path, backends, arguments=["relay", "--file", str(path)]) as program:
         clients = [program.client() for _ in range(4)]
         assert [client.open(f"k{number}") for number, client in enumerate(clients)] == ["UP r"] * 4
-        assert (len(backends[0].heads), len(backends[1].heads)) == (0, 4)
+        assert (len(backends[0].open_lines), len(backends[1].open_lines)) == (0, 4)
 
         def records() -> list[dict]:
             return [json.loads(line) for line in program.log.read_text().splitlines() if line.startswith("{")]
@@ -211,9 +211,9 @@
         program.process.send_signal(signal.SIGHUP)
         wait_until(lambda: "boxes.aside" in program.log.read_text())
         assert program.client().open("k9") == "UP r"
-        assert not backends[0].heads, "the old file stays in effect"
+        assert not backends[0].open_lines, "the old file stays in effect"
         path.write_text('[boxes]\naside = ["s-b"]\n')
         program.process.send_signal(signal.SIGHUP)
         wait_until(lambda: "configuration read again" in program.log.read_text())
         assert program.client().open("k9") == "UP r"
-        assert len(backends[0].heads) == 1
+        assert len(backends[0].open_lines) == 1
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -34,7 +34,7 @@
             began = time.monotonic()
             words[client.open(str(number))] += 1
             assert time.monotonic() - began < 1.55, "an answer before the client gives up"
-            words[client.say("M 1")] += 1
+            words[client.exchange("M 1")] += 1
             client.close()
         relay.terminate()
         assert relay.process.wait(8) == 0
--- a/tests/test_terms_backends.py
+++ b/tests/test_terms_backends.py
@@ -46,11 +46,11 @@
                 client.link.sendall(f"OPEN 1 k c={name},d=3000\r\n".encode())
                 assert killed.stdout.readline() == b"accepted\n"
                 wait_until(lambda: relay.discovery.calls)
-                relay.discovery.tell(other.entry())
+                relay.discovery.publish(other.entry())
                 wait_until(lambda: len(relay.discovery.calls) > 1)
                 killed.send_signal(signal.SIGKILL)
                 assert client.read_line() == ("UP r" if goes_on else "ERR")
-                assert len(other.heads) == goes_on
+                assert len(other.open_lines) == goes_on
         finally:
             with suppress(ProcessLookupError):
                 killed.kill()
--- a/tests/test_terms_clients.py
+++ b/tests/test_terms_clients.py
@@ -194,4 +194,4 @@
         time.sleep(GONE_AFTER)
         relay.resume()
         assert relay.client().open() == "UP r"
-        assert len(backend.heads) == 1, "the second client's"
+        assert len(backend.open_lines) == 1, "the second client's"
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -184,13 +184,13 @@
         discovery = other
     drained = relay.backends[0]
     discovery.members = [drained.entry("draining"), relay.backends[1].entry()]
-    discovery.tell(drained.entry("draining"))
+    discovery.publish(drained.entry("draining"))
     discovery.repair()
     reachable = time.monotonic()
     time.sleep(COUNTS_AFTER + DRAIN_GRACE)
-    placed = len(drained.heads)
+    placed = len(drained.open_lines)
     answers = place_newcomers(relay)
-    assert len(drained.heads) == placed, "placed on a draining backend"
+    assert len(drained.open_lines) == placed, "placed on a draining backend"
     assert "UP r" in answers, f"nobody was placed: {answers}"
     assert any(at > reachable for at in discovery.answered), "discovery was not asked again"
 
--- a/tests/test_terms_fleet_size.py
+++ b/tests/test_terms_fleet_size.py
@@ -57,12 +57,12 @@
         clients = [relay.client() for _ in range(CLIENTS)]
         assert {client.open(f"key-{number}") for number, client in enumerate(clients)} == {"UP r"}
         wait_until(lambda: relay.discovery.calls)
-        relay.discovery.tell(*(entry | {"phase": "draining"} for entry in entries[:-1]))
+        relay.discovery.publish(*(entry | {"phase": "draining"} for entry in entries[:-1]))
         wait_until(lambda: len(relay.discovery.calls) >= 2)
-        placed = sum(len(backend.heads) for backend in backends[:-1])
+        placed = sum(len(backend.open_lines) for backend in backends[:-1])
         for number in range(4):
             assert relay.client().open(f"late-{number}") in ("UP r", "BUSY"), "one cold backend is left"
-        assert sum(len(backend.heads) for backend in backends[:-1]) == placed, "1,099 are draining"
+        assert sum(len(backend.open_lines) for backend in backends[:-1]) == placed, "1,099 are draining"
         assert peak_memory_mb(relay) < MEMORY_MB
         assert descriptors(relay) < SOCKETS
 
--- a/tests/test_terms_limits.py
+++ b/tests/test_terms_limits.py
@@ -133,12 +133,12 @@
                 wait_until(lambda failed=failed: discovery.faulted > failed)
             drained = backends[0]
             discovery.members = [drained.entry("draining"), backends[1].entry()]
-            discovery.tell(drained.entry("draining"))
+            discovery.publish(drained.entry("draining"))
             discovery.repair()
             time.sleep(COUNTS_AFTER + DRAIN_GRACE)
-            placed = len(drained.heads)
+            placed = len(drained.open_lines)
             stay = [open_at_once(relay) for _ in range(12)]
-            assert len(drained.heads) == placed and len(stay) == 12, "nothing new on a draining backend"
+            assert len(drained.open_lines) == placed and len(stay) == 12, "nothing new on a draining backend"
         assert "Too many open files" not in relay.log.read_text()
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -82,7 +82,7 @@
     with SteppedProgram(tmp_path, [backend], clock) as relay:
         client = relay.client()
         assert client.open() == "UP r"
-        backend.deaf = True
+        backend.unresponsive = True
         client.link.sendall(b"M 0\r\n")
         relay.step(steps)
         assert seconds_until(client, "MOVE") < 3 + SLACK
@@ -152,7 +152,7 @@
             assert client.open(str(number)) == "UP r"
         draining = max(backends, key=lambda backend: len(backend.opened))
         began = time.monotonic()
-        relay.discovery.tell(draining.entry("draining"))
+        relay.discovery.publish(draining.entry("draining"))
         relay.step(steps)
         wait_until(lambda: len(draining.ends) >= len(draining.opened), 12)
         assert time.monotonic() - began < 4 + SLACK
