--- a/cedarledge/policy/backends.py
+++ b/cedarledge/policy/backends.py
@@ -6,9 +6,9 @@
 from cedarledge.terms import SECOND, BackendEntry, BackendState, ListForm
 
 DRAIN_TIME = 4 * SECOND  # a draining backend stops soon and then closes its remaining connections itself
-WEIGHT_STEPS = (
-    2  # ranks per doubling of the weight; without steps all relays would fill the one of highest weight
-)
+# Ranks per doubling of the weight. Unrounded, all relays would fill the backend with a slightly higher
+# weight.
+WEIGHT_STEPS = 2
 
 
 def update(state: State, now: int, form: ListForm, entries: list[BackendEntry]) -> None:
--- a/cedarledge/policy/balancer.py
+++ b/cedarledge/policy/balancer.py
@@ -112,8 +112,7 @@
         is_blocked = is_blocked or (state.in_flight >= state.attempt_limit and ejection.is_shared(state, now))
         choice = None if is_blocked else self.choose(state, now, connection)
         # Without reports from enough of the fleet, another backend is probed before a rejection: backends
-        # that hold this relay's clients report first and most often, and do not show whether others have
-        # capacity.
+        # with clients of this relay report first and most often, which says nothing about the others.
         unreported = None if choice or is_blocked else probing.before_rejection(state, now, connection)
         if unreported:
             connection.probed_before_rejection = True
@@ -251,7 +250,7 @@
             self.state.settings.shortest_message_latency_target,
         )
         backend.message_delay, backend.delay_at = delay, now
-        if shortest_target and delay > shortest_target // 2:  # a report may be a round of probes old
+        if shortest_target and delay > shortest_target // 2:  # a report may be a round of probes late
             backend.mark_busy(now, rebalance.MAX_DELAY_AGE)
 
     def probe_ended(self, now: int, backend_id: int, answered: bool, report: terms.LoadReport) -> None:
--- a/cedarledge/policy/probing.py
+++ b/cedarledge/policy/probing.py
@@ -5,10 +5,10 @@
 from cedarledge.terms import MS, SECOND, BackendState
 
 MIN_PROBE_INTERVAL, MAX_PROBE_INTERVAL = SECOND, 4 * SECOND
-PROBES_PER_ARRIVAL = 2  # more would cost backends of many relays more than the reports are worth
+PROBES_PER_ARRIVAL = 2  # with many relays more would cost more than the reports are worth
 # Backends with clients of this relay are probed once in the round time, and earlier by the priority factor.
 IN_USE_ROUND_TIME, IN_USE_PRIORITY = 5 * SECOND, 3
-MAX_REPORT_AGE = 2 * SECOND  # an older report is no basis for a placement, as others were made since
+MAX_REPORT_AGE = 2 * SECOND  # an older report does not reflect recent placements
 MIN_REPORTED_SHARE = 0.25  # of the ready backends; with fewer recent reports a rejection needs a probe
 # The probes before a placement, and the part of its latency target in which they must be answered.
 MAX_PROBES_PER_PLACEMENT, PROBE_TIME_SHARE = 5, 0.25
@@ -49,7 +49,7 @@
 
 
 def time_out(state: State, now: int) -> list[int]:
-    """Returns the connections whose probe is overdue, and marks the probed backends as busy."""
+    """Returns the connections whose probe is overdue; backends that answer late are marked as busy."""
     # A host with a coarser clock may fire slightly early; a connection skipped then would never be placed.
     late = [
         waiting for waiting in state.awaiting_probe if now > state.connections[waiting].probe_deadline - MS
--- a/cedarledge/policy/slow_start.py
+++ b/cedarledge/policy/slow_start.py
@@ -37,7 +37,7 @@
     )
     arrival_interval = state.ready_count / len(state.cells[backend.cell]) / max(state.arrival_rate(now), 0.01)
     rate = SAFETY_FACTOR * settings.overload_multiple * capacity_share * state.fill_rate
-    # A token bucket. It starts at a random level below 1, so that all relays together keep the rate of one.
+    # A token bucket. It starts at a random level below 1, so that all relays together keep to the rate.
     # An arrival adds the growth over at most the mean time between arrivals at the cell; if buckets grew with
     # time alone, most of the budget would remain unused.
     backend.tokens = min(
--- a/cedarledge/policy/utilization.py
+++ b/cedarledge/policy/utilization.py
@@ -18,10 +18,10 @@
 HOST_TYPE_CONNECTIONS = 4.0
 # A backend of less than this part of its host type's capacity is weighted by its own capacity.
 SLOW_CAPACITY_SHARE = 0.5
-# This relay's arrivals per backend at which the change at the other relays is assumed to be half of its own.
+# This relay's arrivals per backend at which the change at each other relay is assumed to be half of its own.
 HALF_ECHO_ARRIVALS = 0.1
-# How far an estimated load may exceed the report while the relay settles: until then it estimates capacities
-# far too low.
+# How far an estimate may exceed the report while the relay settles, as its capacity estimates are far too
+# low.
 MAX_EXCESS_OVER_REPORT = 0.35
 REPORT_LIFETIME = 4 * SECOND  # the time constant with which a report loses weight in the mean load
 MAX_SAMPLE_LOAD = 3.0  # the limit of a single load in the mean load
@@ -45,8 +45,7 @@
     type_weight = max(
         HOST_TYPE_WEIGHT, HOST_TYPE_CONNECTIONS * backend.reports.read(now) / max(connections_when_full, 0.01)
     )
-    # Recent own reports outweigh the host type: a backend that became slow looks idle once its clients are
-    # moved.
+    # Recent own reports outweigh the host type: a slow backend looks idle once its clients have been moved.
     return (own.amount.read(now) + type_weight * type_capacity) / (own.weight.read(now) + type_weight)
 
 
@@ -58,8 +57,7 @@
     backend_capacity = capacity(state, now, backend) if change else 0.0
     if not backend_capacity:
         return backend.reported
-    # The other relays are assumed to change their load as this one does, as far as its few arrivals are
-    # evidence.
+    # The other relays are assumed to place connections as this one does, as far as its arrivals are evidence.
     own = state.arrivals_per_backend * (now - backend.reported_at) / SECOND
     echo = 1 + (state.settings.relays - 1) * own / (own + HALF_ECHO_ARRIVALS)
     return max(0.0, backend.reported + echo * change / backend_capacity)
@@ -150,7 +148,7 @@
     sample = FleetSample()
     for backend in (backend for cell in state.cells.values() for backend in cell):
         if backend.is_ejected(now) or backend.is_cold(now):
-            continue  # the idle capacity of a cold backend can only be used slowly
+            continue  # its idle capacity can only be used slowly, and must not make others count as busy
         sample.warm += 1
         is_local = backend.zone == state.settings.zone
         if backend.reported < 0:
