--- a/cedarledge/failover/plans.py
+++ b/cedarledge/failover/plans.py
@@ -282,8 +282,8 @@
         return elsewhere < MIN_SHARE_CHANGE
 
     def _next_withdrawals(self, row: ZonePlan, state: State, now: int) -> int:
-        bad = (State.CLOSED, State.LIMITED)
-        if state in bad and row.state not in bad:
+        withdrawn = (State.CLOSED, State.LIMITED)
+        if state in withdrawn and row.state not in withdrawn:
             return min(row.withdrawals + 1, 16)
         if (
             state is State.OPEN
@@ -300,11 +300,15 @@
         """
         if [row.zone for row in plan.zones] != list(self.regions):
             return False
-        bad = (State.CLOSED, State.LIMITED)
+        withdrawn = (State.CLOSED, State.LIMITED)
         for row in plan.zones:
             evidence, _ = self._evidence(row.zone, summarize_zone(row.zone, reports), now)
-            was_bad, is_bad = self.plan.state(row.zone) in bad, row.state in bad
-            if row.zone not in self.pinned and was_bad != is_bad and is_bad == (evidence == "well"):
+            was_withdrawn, is_withdrawn = self.plan.state(row.zone) in withdrawn, row.state in withdrawn
+            if (
+                row.zone not in self.pinned
+                and was_withdrawn != is_withdrawn
+                and is_withdrawn == (evidence == "well")
+            ):
                 return False
         return True
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -126,11 +126,19 @@
 
 
 def test_addresses_that_are_neither_loopback_nor_private_are_rejected() -> None:
-    for bad in ("8.8.8.8:7", "0.0.0.0:7", "172.32.0.1:7", "host:7", "10.0.0.1:0", "10.0.0.1:-1", "10.0.0.1"):
+    for address in (
+        "8.8.8.8:7",
+        "0.0.0.0:7",
+        "172.32.0.1:7",
+        "host:7",
+        "10.0.0.1:0",
+        "10.0.0.1:-1",
+        "10.0.0.1",
+    ):
         with raises(ValueError):
-            parse_private_address(bad)
+            parse_private_address(address)
         with raises(ValueError):
-            started_membership(seeds=(bad,))
+            started_membership(seeds=(address,))
     assert started_membership(seeds=(OWN_ADDRESS, OTHER_ADDRESS))[1].seeds == (OTHER_ADDRESS,), (
         "the own address is not used as a seed"
     )
@@ -166,7 +174,7 @@
     host, peers = started_membership()
     name = "n" * 64
     for turn in range(200):
-        metadata = {f"field-{turn}-{place}": (turn, "ä" * 64) for place in range(4)}
+        metadata = {f"field-{turn}-{part}": (turn, "ä" * 64) for part in range(4)}
         peers.received(
             1,
             datagram(
@@ -252,9 +260,9 @@
 @mark.parametrize("kind", FAULTS)
 def test_after_each_kind_of_fault_all_views_agree_with_the_truth(kind: str) -> None:
     # Incarnations start one below the modulus, so they wrap around during the fault.
-    who = (0, 1, 2) if kind in ("halves", "one_way") else (2,)
+    members = (0, 1, 2) if kind in ("halves", "one_way") else (2,)
     fleet = Fleet(
-        6, 4, [Trouble(kind, TROUBLE, TROUBLE + 12 * SECOND, who)], incarnation=COUNTER_MODULUS - 1
+        6, 4, [Trouble(kind, TROUBLE, TROUBLE + 12 * SECOND, members)], incarnation=COUNTER_MODULUS - 1
     ).run()
     if kind in ("loss", "slow", "restart", "all_anew"):
         assert fleet.false_deaths == 0
--- a/tests/test_peers_processes.py
+++ b/tests/test_peers_processes.py
@@ -33,41 +33,41 @@
 
     def __init__(self, stack: ExitStack, folder: Path, backends: list[Backend], names: list[str]) -> None:
         self.stack, self.folder, self.backends = stack, folder, backends
-        taken = [stack.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) for _ in names]
-        for link in taken:
-            link.bind(("127.0.0.1", 0))
-        self.addresses = ["{}:{}".format(*link.getsockname()) for link in taken]
-        for link in taken:
-            link.close()
-        self.programs = [self.start(place, name) for place, name in enumerate(names)]
-
-    def start(self, place: int, name: str, text: str = "") -> RelayProgram:
-        folder = self.folder / f"{place}-{name}"
+        sockets = [stack.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) for _ in names]
+        for udp_socket in sockets:
+            udp_socket.bind(("127.0.0.1", 0))
+        self.addresses = ["{}:{}".format(*udp_socket.getsockname()) for udp_socket in sockets]
+        for udp_socket in sockets:
+            udp_socket.close()
+        self.programs = [self.start(index, name) for index, name in enumerate(names)]
+
+    def start(self, index: int, name: str, text: str = "") -> RelayProgram:
+        folder = self.folder / f"{index}-{name}"
         folder.mkdir(exist_ok=True)
         seeds = ", ".join(f'"{address}"' for address in self.addresses[:3])
-        (folder / "file").write_text(text or OPERATOR_FILE.format(self.addresses[place], seeds))
+        (folder / "file").write_text(text or OPERATOR_FILE.format(self.addresses[index], seeds))
         arguments = ["relay", "--file", str(folder / "file")]
         return self.stack.enter_context(RelayProgram(folder, self.backends, arguments, name=name))
 
     def free_address(self) -> str:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as link:
-            link.bind(("127.0.0.1", 0))
-            return "{}:{}".format(*link.getsockname())
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
+            udp_socket.bind(("127.0.0.1", 0))
+            return "{}:{}".format(*udp_socket.getsockname())
 
-    def view(self, place: int) -> dict[str, str]:
+    def view(self, index: int) -> dict[str, str]:
         """State by name of all members in a relay's view, itself included; empty if it does not answer."""
         with suppress(NoAnswerError):
-            return {row.name: row.state for row in self.rows(place)}
+            return {row.name: row.state for row in self.rows(index)}
         return {}
 
-    def rows(self, place: int) -> list:
-        return fetch_view(read_operator_file(next(self.folder.glob(f"{place}-*")) / "file").peers).rows
+    def rows(self, index: int) -> list:
+        return fetch_view(read_operator_file(next(self.folder.glob(f"{index}-*")) / "file").peers).rows
 
     def all_see(self, *expected: str) -> bool:
         """Whether every running relay sees exactly these members as alive."""
         return all(
-            {name for name, state in self.view(place).items() if state in ("alive", "self")} == set(expected)
-            for place, program in enumerate(self.programs)
+            {name for name, state in self.view(index).items() if state in ("alive", "self")} == set(expected)
+            for index, program in enumerate(self.programs)
             if program.process.poll() is None
         )
 
@@ -89,9 +89,11 @@
 def test_a_kill_a_stop_a_restart_and_a_planned_exit_are_distinguished_in_time(tmp_path: Path) -> None:
     with running_relays(tmp_path, "n0", "n1", "n2", "n3") as fleet:
         wait_until(lambda: all("state" in row.told for row in fleet.rows(0)), 10)
-        told = {row.name: row.told for row in fleet.rows(0)}
-        assert [told[name]["state"] for name in ("n0", "n1", "n2", "n3")] == ["ready"] * 4
-        assert len({told[name]["settings"] for name in told}) == 1 and told["n1"]["zone"] == "here"
+        metadata = {row.name: row.told for row in fleet.rows(0)}
+        assert [metadata[name]["state"] for name in ("n0", "n1", "n2", "n3")] == ["ready"] * 4
+        assert (
+            len({metadata[name]["settings"] for name in metadata}) == 1 and metadata["n1"]["zone"] == "here"
+        )
         client = fleet.programs[0].client()
         assert client.open() == "UP r"
         wait_until(lambda: {row.name: row.told for row in fleet.rows(2)}["n0"].get("tunnels") == 1, 10)
@@ -103,7 +105,7 @@
         # Killed for good, with a client connected.
         assert fleet.programs[1].client().open() == "UP r"
         fleet.programs[1].process.kill()
-        wait_until(lambda: {fleet.view(place).get("n1") for place in (0, 2, 3)} == {"dead"}, 10)
+        wait_until(lambda: {fleet.view(index).get("n1") for index in (0, 2, 3)} == {"dead"}, 10)
         # Stopped and continued: dead to the others meanwhile, it declares none of them dead afterwards.
         fleet.programs[2].process.send_signal(signal.SIGSTOP)
         wait_until(lambda: fleet.view(0)["n2"] == "dead" and fleet.view(3)["n2"] == "dead", 12)
@@ -165,12 +167,15 @@
 
 
 def test_a_port_in_use_and_seeds_that_never_answer_delay_nothing(tmp_path: Path) -> None:
-    with running_relays(tmp_path, "n0") as fleet, socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
-        taken.bind(("127.0.0.1", 0))
-        fleet.addresses.append("{}:{}".format(*taken.getsockname()))
-        late = fleet.start(1, "n1")
-        assert late.client().open() == "UP r" and "tried again" in late.log.read_text()
-        taken.close()
+    with (
+        running_relays(tmp_path, "n0") as fleet,
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as occupant,
+    ):
+        occupant.bind(("127.0.0.1", 0))
+        fleet.addresses.append("{}:{}".format(*occupant.getsockname()))
+        second = fleet.start(1, "n1")
+        assert second.client().open() == "UP r" and "tried again" in second.log.read_text()
+        occupant.close()
         wait_until(lambda: fleet.view(0) == {"n0": "self", "n1": "alive"}, 10)
         silent = OPERATOR_FILE.format(
             fleet.addresses[1].replace("127.0.0.1", "127.0.0.2"), '"127.0.0.9:9", "10.255.255.1:9"'
@@ -189,12 +194,12 @@
 
         host, _, port = fleet.addresses[0].rpartition(":")
         before, sent, durations = resident(), 0, []
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as link:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
             for number in range(60):
                 forged = Message(FORMAT, "t", Kind.PING, f"x{number}", "127.0.0.9:9", 1, 0, 0, "n0")
                 for data in (b"", b"\x00" * 1200, encode(forged), b"\x93\x01\xa1t\x00") * 100:
                     with suppress(OSError):
-                        sent += link.sendto(data, (host, int(port))) >= 0
+                        sent += udp_socket.sendto(data, (host, int(port))) >= 0
                 start = time.monotonic()
                 assert target.client().open(str(number)) == "UP r"
                 durations.append(time.monotonic() - start)
@@ -233,7 +238,7 @@
 
 
 @mark.parametrize(
-    "text,place",
+    "text,message",
     [
         ('on = true\nfleet = "t"\nlisten = "8.8.8.8:7"', "peers: listen: expected an IPv4 address"),
         ('on = true\nfleet = "t"\nlisten = "0.0.0.0:7"', "peers: listen: expected an IPv4 address"),
@@ -243,13 +248,13 @@
     ],
 )
 def test_an_invalid_peers_table_is_rejected_with_the_path_of_its_key(
-    text: str, place: str, tmp_path: Path
+    text: str, message: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "file"
     path.write_text(f"[peers]\n{text}\n")
     for arguments in (["check"], ["peers"]):
         result = command(*arguments, path=path)
-        assert result.returncode == 2 and result.stderr.count("\n") == 1 and place in result.stderr
+        assert result.returncode == 2 and result.stderr.count("\n") == 1 and message in result.stderr
 
 
 def test_check_lists_enabled_tables_and_the_command_shows_the_view(tmp_path: Path) -> None:
@@ -291,8 +296,8 @@
             (folder / name).write_text(text)
         names = ("OPERATOR_FILE", "FILE", "PEERS", "PEERS_ON", "OPERATOR", "CONFIG_FILE")
         misleading = {
-            f"{who}_{name}": str(folder / "operator.toml")
-            for who in ("BALANCER", "CEDARLEDGE")
+            f"{prefix}_{name}": str(folder / "operator.toml")
+            for prefix in ("BALANCER", "CEDARLEDGE")
             for name in names
         }
         keys = {name: {"on": True, "listen": f"127.0.0.1:{port}"} for name in ("peers", "operator", "file")}
@@ -362,8 +367,8 @@
                 figures[name].append(((int(times[11]) + int(times[12])) / os.sysconf("SC_CLK_TCK"), peak))
     # The first pair compiles bytecode.
     cpu, memory = (
-        {name: statistics.median(row[place] for row in rows[1:]) for name, rows in figures.items()}
-        for place in (0, 1)
+        {name: statistics.median(row[column] for row in rows[1:]) for name, rows in figures.items()}
+        for column in (0, 1)
     )
     assert cpu["as it is"] <= 1.2 * cpu["bare"] + 0.02
     assert memory["as it is"] <= 1.02 * memory["bare"]
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -35,12 +35,12 @@
     reports = []
     for zone in REGIONS:
         for _ in range(relays if zone not in silent else 0):
-            bad = (failing or {}).get(zone, ())
+            failing_zones = (failing or {}).get(zone, ())
             observations = {
                 other: ZoneObservation(
-                    0 if other in bad else 10,
-                    0.0 if other in bad else load,
-                    float(other in bad),
+                    0 if other in failing_zones else 10,
+                    0.0 if other in failing_zones else load,
+                    float(other in failing_zones),
                     100 * (other == zone),
                     0,
                 )
