--- a/cedarledge/net/clients.py
+++ b/cedarledge/net/clients.py
@@ -7,11 +7,11 @@
 
 from twisted.internet.interfaces import IAddress
 
-from cedarledge.net.evicting_listener import EvictingListener
 from cedarledge.net.interfaces import RequestHandler
 from cedarledge.net.invariants import Invariant
 from cedarledge.net.line_connection import ConnectionContext, LineConnection
 from cedarledge.net.lines import parse_finite
+from cedarledge.net.listeners import EvictingListener
 from cedarledge.terms import MS
 
 # How long a connection may last without a complete OPEN line. The platform requires that a client that does
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -11,7 +11,7 @@
 
 from pytest import mark
 
-from cedarledge.cli import LATE
+from cedarledge.cli import STANDINS_LATE
 from cedarledge.standins.judge import RULES
 
 # The rules that a relay can break by itself; the others are the judge's own tests'.
@@ -104,7 +104,7 @@
             check=False,
         )
         if not out.exists():
-            if done.returncode == LATE:
+            if done.returncode == STANDINS_LATE:
                 late.append(name)
             return name, done.stderr
         told = json.loads(out.read_text())
@@ -129,7 +129,7 @@
         command = [sys.executable, "-m", "cedarledge", "rig", "run", scenario, *sizes, "--json", str(out)]
         for _ in range(2):
             done = subprocess.run(command, capture_output=True, text=True, check=False)
-            if done.returncode != LATE:
+            if done.returncode != STANDINS_LATE:
                 break
         assert out.exists(), done.stderr
         return json.loads(out.read_text())
