--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -98,7 +98,7 @@
     arrived: int
     give_up: int
     answered: bool = False
-    setups: list[list] = field(default_factory=list)  # [backend, start, outcome or None, whether it opened]
+    attempts: list[list] = field(default_factory=list)  # [backend, start, outcome or None, whether it opened]
 
 
 class RuleCheckingHost:
@@ -113,19 +113,19 @@
         self.now = settings.start_time
         self.requests: dict[int, ClientRequest] = {}
         self.listing: dict[int, BackendEntry] = {}
-        self.sends: list[tuple[int, int, int]] = []  # time, connection, backend
+        self.attempts: list[tuple[int, int, int]] = []  # time, connection, backend
         self.probes: list[tuple[int, int]] = []
         self.moves: list[int] = []
-        self.declines: list[tuple[int, int]] = []
-        self.watches: list[int] = []
-        self.wakes: list[tuple[int, int]] = []
+        self.rejections: list[tuple[int, int]] = []
+        self.list_requests: list[int] = []
+        self.timers: list[tuple[int, int]] = []
         self.reported_loads: dict[int, float] = {}  # of each backend, the last; probes return it again
         self.balancer = Balancer(self, settings)
 
     # -- actions of the balancer (terms.PolicyHost), with the checks -----------------------------
 
     def _may_have_run(self, request: ClientRequest) -> list[list]:
-        return [setup for setup in request.setups if setup[2] not in NEVER_RAN]
+        return [attempt for attempt in request.attempts if attempt[2] not in NEVER_RAN]
 
     def attempt(self, connection_id: int, backend_id: int, timeout: int) -> None:
         request, row = (
@@ -133,8 +133,8 @@
             self.settings.request_classes[self.requests[connection_id].profile],
         )
         assert not request.answered, "an attempt after the final answer"
-        assert all(setup[2] is not None for setup in request.setups), "two attempts at once"
-        assert len(request.setups) < self.settings.max_attempts
+        assert all(attempt[2] is not None for attempt in request.attempts), "two attempts at once"
+        assert len(request.attempts) < self.settings.max_attempts
         assert 0 < timeout <= request.give_up - self.now, (
             "an attempt that may last longer than the client waits"
         )
@@ -146,14 +146,14 @@
             assert row.effect is Effect.DEDUPLICATED, "a request that must not be repeated may run twice"
             first = ran[0]
             assert self.now < first[1] + row.window, "a repetition after the deduplication window"
-            one, two = self.listing[first[0]], self.listing[backend_id]
+            earlier, later = self.listing[first[0]], self.listing[backend_id]
             assert (
                 row.dedup is Dedup.ALL
-                or (row.dedup is Dedup.ZONE and one.zone == two.zone)
-                or (row.dedup is Dedup.CELL and one.cell == two.cell)
+                or (row.dedup is Dedup.ZONE and earlier.zone == later.zone)
+                or (row.dedup is Dedup.CELL and earlier.cell == later.cell)
             ), "a repetition outside the deduplication group"
-        request.setups.append([backend_id, self.now, None, False])
-        self.sends.append((self.now, connection_id, backend_id))
+        request.attempts.append([backend_id, self.now, None, False])
+        self.attempts.append((self.now, connection_id, backend_id))
 
     def reject(self, connection_id: int, retry_after: int) -> None:
         request, row = (
@@ -168,14 +168,14 @@
             or (row.effect is Effect.DEDUPLICATED and row.dedup is Dedup.ALL)
         ), "a rejection of a request that may have run"
         request.answered = True
-        self.declines.append((self.now, connection_id))
+        self.rejections.append((self.now, connection_id))
 
     def close_with_error(self, connection_id: int) -> None:
         assert not self.requests[connection_id].answered, "two final answers"
         self.requests[connection_id].answered = True
 
     def move(self, connection_id: int) -> None:
-        assert self.requests[connection_id].setups[-1][3], "a move of a connection that is not open"
+        assert self.requests[connection_id].attempts[-1][3], "a move of a connection that is not open"
         self.moves.append(connection_id)
 
     def probe(self, backend_id: int) -> None:
@@ -183,12 +183,11 @@
 
     def set_timer(self, delay: int, token: int) -> None:
         assert delay > 0
-        self.wakes.append(
-            (self.now + delay // 1000 * 1000, token)
-        )  # this host's timers have a resolution of 1 us
+        # This host's timers have a resolution of 1 us.
+        self.timers.append((self.now + delay // 1000 * 1000, token))
 
     def request_list(self) -> None:
-        self.watches.append(self.now)
+        self.list_requests.append(self.now)
 
     def log(self, text: str) -> None:
         pass
@@ -198,7 +197,7 @@
     def check(self) -> None:
         """Checks that each request is answered, attempted or waiting for a probe."""
         for request in self.requests.values():
-            is_attempted = request.setups and request.setups[-1][2] is None
+            is_attempted = request.attempts and request.attempts[-1][2] is None
             awaits_probe = (
                 self.now
                 < request.arrived + self.settings.request_classes[request.profile].setup_latency_target // 4
@@ -244,23 +243,23 @@
         return connection_id
 
     def open(self, connection_id: int) -> None:
-        setup = self.requests[connection_id].setups[-1]
-        setup[3] = self.requests[connection_id].answered = True
-        self.balancer.connection_opened(self.now, connection_id, self.now - setup[1])
+        attempt = self.requests[connection_id].attempts[-1]
+        attempt[3] = self.requests[connection_id].answered = True
+        self.balancer.connection_opened(self.now, connection_id, self.now - attempt[1])
 
     def end(self, connection_id: int, outcome: Outcome) -> None:
         request = self.requests[connection_id]
-        setup = request.setups[-1]
-        setup[2] = outcome
+        attempt = request.attempts[-1]
+        attempt[2] = outcome
         if outcome is Outcome.DONE:
             request.answered = True
         self.balancer.attempt_ended(
-            self.now, connection_id, setup[0], request.answered, outcome, self.now - setup[1], None
+            self.now, connection_id, attempt[0], request.answered, outcome, self.now - attempt[1], None
         )
 
     def end_moved(self) -> None:
         for connection_id in self.moves:
-            if self.requests[connection_id].setups[-1][2] is None:
+            if self.requests[connection_id].attempts[-1][2] is None:
                 self.end(connection_id, Outcome.CANCELLED)
 
     def report(self, backend_id: int, asked: float) -> None:
@@ -270,11 +269,11 @@
     def run(self, span: int) -> None:
         """Lets time pass, with the timers that fall due."""
         end = self.now + span
-        while due := [wake for wake in self.wakes if wake[0] <= end]:
-            wake = min(due)
-            self.wakes.remove(wake)
-            self.now = wake[0]
-            self.balancer.timer_fired(self.now, wake[1])
+        while due := [timer for timer in self.timers if timer[0] <= end]:
+            timer = min(due)
+            self.timers.remove(timer)
+            self.now = timer[0]
+            self.balancer.timer_fired(self.now, timer[1])
         self.now = end
 
 
@@ -398,7 +397,7 @@
     def serve(self, link: socket.socket, lines: IO[bytes]) -> None:
         end = "ended"
         try:
-            self.talk(link, lines)
+            self.serve_lines(link, lines)
         except ConnectionResetError:
             end = "reset"
         self.ends.append(end)
@@ -406,7 +405,7 @@
             lines.close()
             link.close()
 
-    def talk(self, link: socket.socket, lines: IO[bytes]) -> None:
+    def serve_lines(self, link: socket.socket, lines: IO[bytes]) -> None:
         for line in lines:
             if line == b"STATS\r\n":
                 link.sendall(f"PONG {self.stats}\r\n".encode())
@@ -492,7 +491,7 @@
                 if self.broken is None:
                     self.changed.wait_for(lambda since=since: self.down or self.revision > since, wait / 1000)
                 news = self.members if not asked else self.changes if self.revision > since else []
-                told = {"revision": self.revision - self.back, "complete": not asked, "members": news}
+                answer = {"revision": self.revision - self.back, "complete": not asked, "members": news}
             if self.down:
                 reset(link, lines)
                 return
@@ -500,10 +499,10 @@
                 link.sendall(self.silent[link])
                 continue
             self.answered.append(time.monotonic())
-            self.send(link, (self.broken or http(self.text_of(told))) * (1 + self.twice))
+            self.send(link, (self.broken or http(self.encode(answer))) * (1 + self.twice))
 
-    def text_of(self, told: dict) -> bytes:
-        return json.dumps(told).encode()
+    def encode(self, answer: dict) -> bytes:
+        return json.dumps(answer).encode()
 
     def send(self, link: socket.socket, data: bytes) -> None:
         link.sendall(data)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -93,7 +93,7 @@
     host, boxes = site.host, site.registry
     banned: set[str] = set()
     for what, name in steps:
-        sends, probes = len(host.sends), len(host.probes)
+        sends, probes = len(host.attempts), len(host.probes)
         if what == "ban":
             site.ban(name)
             banned.add(name)
@@ -115,7 +115,7 @@
             if not host.requests[tun].answered:
                 # It fails there, and goes elsewhere as long as there is somewhere.
                 host.end(tun, Outcome.FULL)
-        new = host.sends[sends:]
+        new = host.attempts[sends:]
         assert not {boxes.backend_ids.names[ep] for _, _, ep in new} & banned
         assert not {boxes.backend_ids.names[ep] for _, ep in host.probes[probes:]} & banned
         # What is not banned, and up, is never lost by it.
@@ -127,15 +127,15 @@
     site = Listed()
     site.registry.set_excluded(NAMES)
     tun = site.host.arrive()
-    assert site.host.sends and not site.host.requests[tun].answered, "a slip, which would close the site"
+    assert site.host.attempts and not site.host.requests[tun].answered, "a slip, which would close the site"
     for name in NAMES:
         site.ban(name)
-    sends = len(site.host.sends)
+    sends = len(site.host.attempts)
     tun = site.host.arrive()
-    assert site.host.requests[tun].answered and len(site.host.sends) == sends
+    assert site.host.requests[tun].answered and len(site.host.attempts) == sends
     site.put_back("b")
     site.host.now += 11 * SECOND  # warm
-    assert site.host.arrive() >= 0 and [ep for _, _, ep in site.host.sends[sends:]] == [1]
+    assert site.host.arrive() >= 0 and [ep for _, _, ep in site.host.attempts[sends:]] == [1]
 
 
 def test_one_that_comes_back_is_cold_and_forgotten_whatever_the_list_says() -> None:
@@ -213,14 +213,14 @@
     site = Listed()
     host = site.host
     tun = host.arrive(key="k")
-    ep = host.sends[-1][2]
+    ep = host.attempts[-1][2]
     site.ban(site.registry.backend_ids.names[ep])
     # The host asks once more before it writes (Tunnels.may_send), and says that it was not sent.
     assert ep not in site.registry.ready
     host.end(tun, Outcome.NOT_SENT)
     while tun in host.balancer.state.awaiting_probe:
         host.report(host.balancer.state.awaiting_probe[tun].backend_id, 0.1)
-    assert host.sends[-1][2] != ep, "it goes elsewhere"
+    assert host.attempts[-1][2] != ep, "it goes elsewhere"
 
 
 def test_names_are_as_the_list_has_them(tmp_path: Path) -> None:
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -17,7 +17,7 @@
 
 
 def placed(host, connection_id: int) -> int:
-    return host.requests[connection_id].setups[-1][0]
+    return host.requests[connection_id].attempts[-1][0]
 
 
 def test_a_key_keeps_its_cell_and_its_top_ranked_backend() -> None:
@@ -115,12 +115,12 @@
 def test_a_failed_list_request_is_repeated_after_a_delay() -> None:
     host = host_with_backends(2)
     host.run(SECOND)
-    assert len(host.watches) == 1
+    assert len(host.list_requests) == 1
     host.update_list(ListForm.UNAVAILABLE)
     host.run(2 * SECOND - MS)
-    assert len(host.watches) == 1
+    assert len(host.list_requests) == 1
     host.run(4 * SECOND + MS)
-    assert len(host.watches) == 2
+    assert len(host.list_requests) == 2
 
 
 @mark.parametrize("every", [200, 1000, 2000, 5000, 10_000])
@@ -130,15 +130,15 @@
         host = host_with_backends(2, list_request_interval=every * MS, seed=seed)
         host.run(5 * SECOND)
         for failures in range(6):
-            requests = len(host.watches)
+            requests = len(host.list_requests)
             host.update_list(ListForm.UNAVAILABLE)
             # While requests keep failing, four times the interval is allowed after the service's recovery.
             host.run(every * MS * 3 // 4 if not failures else 4 * max(every * MS, 500 * MS))
-            assert len(host.watches) == requests + 1
+            assert len(host.list_requests) == requests + 1
         host.update_list(ListForm.CHANGES)
         host.update_list(ListForm.UNAVAILABLE)
         host.run(50 * MS - 1)
-        assert len(host.watches) == requests + 1, "never immediately"
+        assert len(host.list_requests) == requests + 1, "never immediately"
 
 
 def test_relays_that_start_together_do_not_request_the_list_together() -> None:
@@ -146,7 +146,7 @@
     for relay_index in range(40):
         host = host_with_backends(4, relays=40, relay_index=relay_index, seed=relay_index)
         host.run(5 * SECOND)
-        first += host.watches
+        first += host.list_requests
     # If a request takes a tenth of a second, they do not queue for long.
     assert all(sum(at <= other < at + SECOND for other in first) <= 18 for at in first)
     assert len(first) == 40
@@ -241,7 +241,7 @@
     for number in range(80):
         host.run(100 * MS)
         connection_id = host.arrive(key=f"early {number}", hint=100.0)
-        if host.requests[connection_id].setups:
+        if host.requests[connection_id].attempts:
             host.open(connection_id)
         for backend_id in range(3):
             host.report(backend_id, 0.6)
@@ -255,7 +255,7 @@
     for number in range(40):
         connection_id = host.arrive(key=f"late {number}", hint=10.0)
         answers[
-            host.requests[connection_id].setups[0][0] if host.requests[connection_id].setups else None
+            host.requests[connection_id].attempts[0][0] if host.requests[connection_id].attempts else None
         ] += 1
     assert answers[7] and answers[None] and set(answers) == {7, None}
 
@@ -279,7 +279,7 @@
     for relay_index, host in enumerate(hosts):
         host.run(relay_index * 75 * MS)
         host.arrive(key=f"late {relay_index}")
-    assert 8 <= sum(host.requests[len(host.requests) - 1].setups[0][0] == 7 for host in hosts) <= 25
+    assert 8 <= sum(host.requests[len(host.requests) - 1].attempts[0][0] == 7 for host in hosts) <= 25
 
 
 def test_all_relays_together_drain_a_backend_gradually() -> None:
@@ -322,7 +322,7 @@
         connection_id = host.arrive(1, "one", budget=4 * SECOND)
         host.now += waited * MS
         host.end(connection_id, Outcome.ERROR)
-        assert len(host.requests[connection_id].setups) == setups
+        assert len(host.requests[connection_id].attempts) == setups
 
 
 def test_a_deduplicated_request_that_may_have_been_executed_stays_in_its_scope() -> None:
@@ -330,7 +330,7 @@
         host = host_with_backends(4, cells=4)
         connection_id = host.arrive(profile, "one", budget=2 * SECOND)
         host.end(connection_id, Outcome.ERROR)
-        assert len(host.requests[connection_id].setups) == setups
+        assert len(host.requests[connection_id].attempts) == setups
 
 
 def test_an_estimated_overload_causes_a_probe_and_only_a_reported_one_moves() -> None:
@@ -392,7 +392,7 @@
     host.run(30 * SECOND)
     host.answers = False
     connection_id = host.arrive(key="one", budget=200 * MS + 2000)
-    assert not host.requests[connection_id].setups and host.probes[-1] == (host.now, top)
+    assert not host.requests[connection_id].attempts and host.probes[-1] == (host.now, top)
     host.run(100 * MS)
     assert placed(host, connection_id) != top
 
@@ -456,11 +456,11 @@
     for number in range(120):
         host.run(8 * MS)
         host.open(host.arrive(key=f"wave{number}", hint=0.01))
-    assert not host.declines
+    assert not host.rejections
     for backend_id in range(6):
         host.report(backend_id, 1.1)
     host.arrive(key="late", hint=0.01)
-    assert host.declines, "according to their reports the backends are full"
+    assert host.rejections, "according to their reports the backends are full"
 
 
 def test_old_reports_of_an_overload_lose_weight_in_the_mean_load() -> None:
@@ -521,7 +521,7 @@
         while not host.requests[connection_id].answered and placed(host, connection_id) % 2:
             host.now += 10 * MS
             host.end(connection_id, Outcome.CONNECT_FAILED)
-    assert not host.declines and all(
+    assert not host.rejections and all(
         host.balancer.state.backends[backend_id].ejections for backend_id in range(1, 12, 2)
     )
 
@@ -622,12 +622,12 @@
             host.balancer.drain_cancelled(host.now)
         else:
             host.balancer.state.drain_deadline = 0
-        before = len(host.declines)
+        before = len(host.rejections)
         for number in range(30):
             connection_id = host.arrive(hint=400.0, key=f"back{number}")
             if not host.requests[connection_id].answered:
                 host.open(connection_id)
-        rejections.append(len(host.declines) - before)
+        rejections.append(len(host.rejections) - before)
     assert rejections[0] > rejections[1] == 0
 
 
@@ -643,7 +643,7 @@
     host.run(SECOND)
     assert sorted(host.moves) == [connection_id, late]
     gone = host.arrive()
-    assert host.requests[gone].answered and not host.requests[gone].setups
+    assert host.requests[gone].answered and not host.requests[gone].attempts
     host.balancer.drain_cancelled(host.now)
     host.end_moved()
     back = host.arrive()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -195,7 +195,7 @@
 class ChunkedDiscovery(Discovery):
     """Sends its lists indented, and a few bytes at a time."""
 
-    def text_of(self, told: dict) -> bytes:
+    def encode(self, told: dict) -> bytes:
         return json.dumps(told, indent=4).encode()
 
     def send(self, link: socket.socket, data: bytes) -> None:
@@ -674,11 +674,11 @@
         self.probed, self.allowed = Event(), Event()
         super().__init__(name)
 
-    def talk(self, link: socket.socket, lines: IO[bytes]) -> None:
+    def serve_lines(self, link: socket.socket, lines: IO[bytes]) -> None:
         if lines.peek(1).startswith(b"STATS"):
             self.probed.set()
             self.allowed.wait(5)
-        super().talk(link, lines)
+        super().serve_lines(link, lines)
 
 
 def test_a_client_that_leaves_during_a_probe_is_not_sent_to_a_backend(tmp_path: Path) -> None:
@@ -823,9 +823,9 @@
     cold = host.balancer.state.backends[0]
     host.run(3 * SECOND)
     cold.tokens = 1.5
-    while not host.sends or host.sends[-1][2] != 0:
+    while not host.attempts or host.attempts[-1][2] != 0:
         host.arrive(hint=100.0)
-    connection_id, left = host.sends[-1][1], cold.tokens
+    connection_id, left = host.attempts[-1][1], cold.tokens
     host.balancer.client_gone(host.now, connection_id)
     host.requests[connection_id].answered = True
     host.end(connection_id, Outcome.NOT_SENT)
@@ -843,7 +843,7 @@
         self.abrupt = abrupt
         self.closed = 0
 
-    def talk(self, link: socket.socket, lines: IO[bytes]) -> None:
+    def serve_lines(self, link: socket.socket, lines: IO[bytes]) -> None:
         if lines.peek(1).startswith(b"STATS"):
             lines.readline()
             link.sendall(f"PONG {self.stats}\r\n".encode())
@@ -852,7 +852,7 @@
                 if self.abrupt:
                     reset(link, lines)
             return
-        super().talk(link, lines)
+        super().serve_lines(link, lines)
 
 
 @mark.parametrize("abrupt", [False, True], ids=["fin", "reset"])
@@ -876,18 +876,18 @@
 class EndlessBackend(Backend):
     """Sends an endless answer."""
 
-    def talk(self, link: socket.socket, lines: IO[bytes]) -> None:
+    def serve_lines(self, link: socket.socket, lines: IO[bytes]) -> None:
         if lines.peek(1).startswith(b"OPEN"):
             self.open_lines.append(lines.readline().decode().strip())
             while True:
                 link.sendall(b"z" * 4096)
-        super().talk(link, lines)
+        super().serve_lines(link, lines)
 
 
 class MuteBackend(Backend):
     """Reads everything and answers nothing, not even probes."""
 
-    def talk(self, link: socket.socket, lines: IO[bytes]) -> None:
+    def serve_lines(self, link: socket.socket, lines: IO[bytes]) -> None:
         self.open_lines += [line.decode().strip() for line in iter(lines.readline, b"")]
 
 
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -68,8 +68,8 @@
     def _end(self, now: int) -> None:
         for _, index, connection_id in [end for end in self.ends if end[0] <= now]:
             host = self.hosts[index]
-            if host.requests[connection_id].setups[-1][2] is None:
-                self.connections[host.requests[connection_id].setups[-1][0]] -= 1
+            if host.requests[connection_id].attempts[-1][2] is None:
+                self.connections[host.requests[connection_id].attempts[-1][0]] -= 1
                 host.end(connection_id, Outcome.CANCELLED if connection_id in host.moves else Outcome.DONE)
         self.ends = [end for end in self.ends if end[0] > now]
 
@@ -83,8 +83,8 @@
         key = f"client {self.rng.randrange(400)}"
         connection_id = host.arrive(key=key, group=f"firm {self.rng.randrange(20)}", budget=2 * SECOND)
         request = host.requests[connection_id]
-        while request.setups and request.setups[-1][2] is None and not request.setups[-1][3]:
-            backend_id = request.setups[-1][0]
+        while request.attempts and request.attempts[-1][2] is None and not request.attempts[-1][3]:
+            backend_id = request.attempts[-1][0]
             if backend_id == COLD_ID:
                 self.cold_attempts.append(now)
             if self.connections.get(backend_id, 0) >= 1.3 * FULL_CONNECTIONS:
@@ -183,7 +183,7 @@
     def attempts(**other: object) -> list[tuple[int, int, int]]:
         fleet = Fleet([{"relays": 4, "grouped": False, **other}] * 4)
         fleet.run(10 * SECOND, 20)
-        return [send for host in fleet.hosts for send in host.sends]
+        return [send for host in fleet.hosts for send in host.attempts]
 
     assert attempts() == attempts(cross_zone_cost=0.01)
     assert attempts() != attempts(cross_zone_cost=0.1)
--- a/tests/test_policy_groups.py
+++ b/tests/test_policy_groups.py
@@ -33,7 +33,7 @@
 def first_backend(host: RuleCheckingHost, group: str) -> int:
     """Returns the backend that gets a group's first connection."""
     connection_id = host.arrive(key=f"client of {group}", group=group)
-    backend_id = host.requests[connection_id].setups[-1][0]
+    backend_id = host.requests[connection_id].attempts[-1][0]
     host.end(connection_id, Outcome.DONE)
     return backend_id
 
@@ -56,7 +56,7 @@
     placed = set()
     for number in range(20):
         connection_id = relay.arrive(key=str(number))
-        placed.add(relay.requests[connection_id].setups[-1][0] % ZONES)
+        placed.add(relay.requests[connection_id].attempts[-1][0] % ZONES)
         relay.end(connection_id, Outcome.DONE)
     assert placed == {1}
 
@@ -99,13 +99,13 @@
         host.run(SECOND // 4)
     for number in range(30):
         host.arrive(key=str(number), group=f"group {number}")
-    assert not host.declines
+    assert not host.rejections
     for backend_id in range(1, 6):
         host.report(backend_id, 1.05)
     host.run(SECOND)
     for number in range(30, 60):
         host.arrive(key=str(number), group=f"group {number}")
-    assert host.declines, "half a dozen reports are a sufficient sample"
+    assert host.rejections, "half a dozen reports are a sufficient sample"
 
 
 def test_old_reports_cause_no_rejections() -> None:
@@ -116,7 +116,7 @@
     host.run(20 * SECOND)
     for number in range(30):
         host.arrive(key=str(number), group=f"group {number}")
-    assert not host.declines
+    assert not host.rejections
 
 
 def test_backends_of_a_host_type_of_unknown_capacity_are_weighted_like_the_others() -> None:
--- a/tests/test_policy_overload.py
+++ b/tests/test_policy_overload.py
@@ -106,7 +106,7 @@
 
 
 def rejected(host: RuleCheckingHost) -> set[int]:
-    return {connection_id for _, connection_id in host.declines}
+    return {connection_id for _, connection_id in host.rejections}
 
 
 def few_overloaded_backends(relays: int) -> RuleCheckingHost:
@@ -125,7 +125,7 @@
     host = few_overloaded_backends(relays=230)
     connection_id = host.arrive(key="client")
     (probed,) = host.balancer.state.awaiting_probe.values()
-    assert probed.reported < 0 and not host.declines
+    assert probed.reported < 0 and not host.rejections
     host.balancer.probe_ended(host.now, probed.backend_id, True, LoadReport(offered_load=1.1))
     assert connection_id in rejected(host), "only one probe, as the client waits"
 
@@ -151,7 +151,7 @@
     (probed,) = host.balancer.state.awaiting_probe.values()
     host.balancer.client_gone(host.now, connection_id)
     host.balancer.probe_ended(host.now, probed.backend_id, True, LoadReport(offered_load=0.1))
-    assert connection_id not in rejected(host) and not host.requests[connection_id].setups
+    assert connection_id not in rejected(host) and not host.requests[connection_id].attempts
 
 
 def full_fleet(**other: object) -> RuleCheckingHost:
@@ -177,7 +177,7 @@
         overload(host)
         group = groups[number % len(groups)]
         connection_id = host.arrive(key=f"client {number}", group=group)
-        if host.requests[connection_id].setups:
+        if host.requests[connection_id].attempts:
             attempted[connection_id] = group
             host.end(connection_id, Outcome.DONE)
         host.run(interval)
@@ -185,7 +185,7 @@
 
 
 def backends_of(host: RuleCheckingHost, connection_ids: Iterable[int]) -> set[int]:
-    return {setup[0] for connection_id in connection_ids for setup in host.requests[connection_id].setups}
+    return {setup[0] for connection_id in connection_ids for setup in host.requests[connection_id].attempts}
 
 
 def test_of_fifteen_arrivals_within_four_seconds_one_is_attempted_even_if_the_fleet_seems_full() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -65,7 +65,7 @@
         return [
             connection_id
             for connection_id, request in self.host.requests.items()
-            if request.setups and request.setups[-1][2] is None
+            if request.attempts and request.attempts[-1][2] is None
         ]
 
     @rule(
@@ -97,7 +97,7 @@
     @rule(data=st.data())
     def open_or_finish(self, data: st.DataObject) -> None:
         connection_id = data.draw(st.sampled_from(self.attempted()))
-        if self.host.requests[connection_id].setups[-1][3]:
+        if self.host.requests[connection_id].attempts[-1][3]:
             self.host.end(connection_id, Outcome.DONE)
         elif not self.host.requests[connection_id].answered:
             self.host.open(connection_id)
@@ -107,7 +107,7 @@
     def report_load_and_delay(self, data: st.DataObject, load: float, delay: int) -> None:
         connection_id = data.draw(st.sampled_from(self.attempted()))
         self.host.balancer.load_changed(self.host.now, connection_id, load)
-        backend_id = self.host.requests[connection_id].setups[-1][0]
+        backend_id = self.host.requests[connection_id].attempts[-1][0]
         self.host.balancer.message_delay_changed(self.host.now, backend_id, delay * MS)
 
     @precondition(lambda self: self.attempted())
@@ -190,12 +190,12 @@
         connection_id = host.arrive(key=f"rush {number}")
         if not host.requests[connection_id].answered:
             host.open(connection_id)
-            if host.requests[connection_id].setups[-1][0] != 9:
+            if host.requests[connection_id].attempts[-1][0] != 9:
                 host.end(connection_id, Outcome.DONE)
     sends = sorted(
         at
         for host in hosts
-        for at, _, backend_id in host.sends
+        for at, _, backend_id in host.attempts
         if backend_id == 9 and at < started + deployment.warmup_duration
     )
     assert sends, "some of the slow-start budget must be used"
@@ -230,7 +230,7 @@
     for turn in range(4):
         for number in range(10):
             connection_id = host.arrive(key=f"{turn} {number}")
-            assert host.requests[connection_id].setups or not size or gone == turn
+            assert host.requests[connection_id].attempts or not size or gone == turn
         host.run(3 * SECOND)
         host.check()
         changes = (
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -185,11 +185,11 @@
     host.balancer.external_view_changed(host.now, ExternalView(excluded=frozenset({0, 1, 2})))
     for number in range(6):
         host.arrive(key=f"k{number}")
-    assert {backend_id for _, _, backend_id in host.sends} == {3}
+    assert {backend_id for _, _, backend_id in host.attempts} == {3}
     host.balancer.external_view_changed(host.now, ExternalView(excluded=frozenset(range(4))))
     for number in range(30):
         host.arrive(key=f"n{number}")
-    assert len({backend_id for _, _, backend_id in host.sends}) > 1
+    assert len({backend_id for _, _, backend_id in host.attempts}) > 1
 
 
 def test_the_operator_file_is_applied_and_read_again_and_an_invalid_one_changes_nothing(
--- a/tests/test_terms_limits.py
+++ b/tests/test_terms_limits.py
@@ -48,13 +48,13 @@
         self.probed = 0
         super().__init__(name)
 
-    def talk(self, link: socket.socket, lines: IO[bytes]) -> None:
+    def serve_lines(self, link: socket.socket, lines: IO[bytes]) -> None:
         if lines.peek(1).startswith(b"STATS"):
             lines.readline()
             link.sendall(f"PONG {self.stats}\r\n".encode())
             self.probed += 1
             return
-        super().talk(link, lines)
+        super().serve_lines(link, lines)
 
 
 @contextmanager
