--- a/cedarledge/cli.py
+++ b/cedarledge/cli.py
@@ -109,9 +109,9 @@
 @rig.command("list")
 def list_scenarios() -> None:
     """List the scenarios that come with the program."""
-    from cedarledge.rig.scenario import load_scenario, shipped
+    from cedarledge.rig.scenario import load_scenario, shipped_scenarios
 
-    for name in shipped():
+    for name in shipped_scenarios():
         scenario = load_scenario(name)
         click.echo(f"{name:12} {scenario.title}: {scenario.about}")
 
@@ -194,17 +194,17 @@
     """Run a SCENARIO, by name or file, and check it against the rules."""
     from cedarledge.rig.demo import LiveTable, summary
     from cedarledge.rig.scenario import load_scenario, without_operator
-    from cedarledge.rig.schedule import plan_of
-    from cedarledge.rig.variants import variant_of
+    from cedarledge.rig.schedule import build_plan
+    from cedarledge.rig.variants import create_variant
 
     try:
         loaded = load_scenario(scenario)
         if off:
             loaded = without_operator(loaded)
-        variant = variant_of(policy, operator_file, checkout)
+        variant = create_variant(policy, operator_file, checkout)
     except BadFileError as why:
         _exit_unusable(why)
-    plan = plan_of(loaded, seed, relays=relays, boxes=boxes, rate=rate, seconds=seconds)
+    plan = build_plan(loaded, seed, relays=relays, boxes=boxes, rate=rate, seconds=seconds)
     table = LiveTable(plan) if sys.stdout.isatty() else None
     verdict = _run(loaded, plan, variant, table, keep, out, report)
     click.echo(summary(verdict))
@@ -213,9 +213,9 @@
 
 def _run_arguments(what: str, scenario: str) -> list[str]:
     """Returns the arguments of `rig run` for one side: a checkout, operator file, baseline or scenario."""
-    from cedarledge.rig.scenario import shipped
+    from cedarledge.rig.scenario import shipped_scenarios
 
-    if what in shipped():
+    if what in shipped_scenarios():
         return [what]
     if what == "cedarledge":
         return [scenario]
@@ -335,7 +335,7 @@
     from cedarledge.rig.soak import SoakResult, soak_all
 
     def done(result: SoakResult) -> None:
-        word = "holds" if result.holds else result.problem or f"BROKEN {result.rules | result.invariants}"
+        word = "holds" if result.passed else result.problem or f"BROKEN {result.rules | result.invariants}"
         click.echo(f"seed {result.seed}: {result.connections} connections, {word}")
         for finding in result.findings:
             click.echo(f"  {finding}")
@@ -343,7 +343,7 @@
     results = soak_all(seeds_of(seeds), jobs, Path(keep), done, relays, seconds)
     if out:
         Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1))
-    held = sum(result.holds for result in results)
+    held = sum(result.passed for result in results)
     not_run = sum(bool(result.problem) for result in results)
     click.echo(f"{held} of {len(results)} seeds hold, {not_run} could not be run")
     sys.exit(0 if held == len(results) else STANDINS_LATE if held + not_run == len(results) else RULE_BROKEN)
@@ -362,15 +362,15 @@
     """Run a small fleet on this machine: two relays, a slow backend, a drain and a killed relay."""
     from cedarledge.rig.demo import LiveTable, summary
     from cedarledge.rig.scenario import load_scenario
-    from cedarledge.rig.schedule import plan_of
-    from cedarledge.rig.variants import variant_of
+    from cedarledge.rig.schedule import build_plan
+    from cedarledge.rig.variants import create_variant
 
     loaded = load_scenario("demo")
-    plan = plan_of(loaded, seed, seconds=seconds)
+    plan = build_plan(loaded, seed, seconds=seconds)
     click.echo(
         f"{plan.relays} relays, {len(plan.boxes)} emulated backends, about "
         f"{plan.client_terms.standing} clients, for {seconds:g} s; on loopback, as process {os.getpid()}."
     )
-    verdict = _run(loaded, plan, variant_of(), LiveTable(plan), None, out, report)
+    verdict = _run(loaded, plan, create_variant(), LiveTable(plan), None, out, report)
     click.echo(summary(verdict))
     _exit_with_verdict(verdict)
--- a/cedarledge/rig/compare.py
+++ b/cedarledge/rig/compare.py
@@ -18,7 +18,7 @@
 
 RESAMPLES, LEVEL = 10_000, 0.95
 # Figures that are compared, and whether more is better.
-FIGURES: tuple[tuple[str, Callable[[dict[str, Any]], float], bool], ...] = (
+COMPARED_METRICS: tuple[tuple[str, Callable[[dict[str, Any]], float], bool], ...] = (
     ("credit served", lambda told: told["credit_served"], True),
     ("well served", lambda told: told["well_served_all"], True),
     ("worst profile", lambda told: min(told["well_served"].values()), True),
@@ -44,7 +44,7 @@
     verdict: str  # better, worse, no difference seen: of B against A
 
 
-def interval(differences: Sequence[float], seed: int = 0) -> tuple[float, float]:
+def bootstrap_interval(differences: Sequence[float], seed: int = 0) -> tuple[float, float]:
     """The bootstrap interval of the mean of paired differences, at 0.95. One pair alone has none."""
     if len(differences) < 2:
         return float("-inf"), float("inf")
@@ -59,10 +59,10 @@
     if len(a) != len(b) or not a:
         raise ValueError(f"{len(a)} and {len(b)} runs make no pairs")
     lines = []
-    for name, read, more_is_better in FIGURES:
+    for name, read, more_is_better in COMPARED_METRICS:
         left, right = [read(told) for told in a], [read(told) for told in b]
         differences = [two - one for one, two in zip(left, right, strict=True)]
-        low, high = interval(differences)
+        low, high = bootstrap_interval(differences)
         verdict = "no difference seen"
         if low > 0 or high < 0:
             verdict = "better" if (low > 0) == more_is_better else "worse"
--- a/cedarledge/rig/scenario.py
+++ b/cedarledge/rig/scenario.py
@@ -200,7 +200,7 @@
     )
 
 
-def shipped() -> dict[str, Path]:
+def shipped_scenarios() -> dict[str, Path]:
     """The scenarios that come with the package, by name."""
     folder = Path(str(files("cedarledge.rig") / "scenarios"))
     return {path.stem: path for path in sorted(folder.glob("*.toml"))}
@@ -208,7 +208,7 @@
 
 def load_scenario(name_or_path: str) -> Scenario:
     """A shipped scenario by its name, or a file. Raises BadFileError."""
-    known = shipped()
+    known = shipped_scenarios()
     path = known.get(name_or_path, Path(name_or_path))
     if name_or_path not in known and not path.exists():
         raise BadFileError(
--- a/cedarledge/rig/schedule.py
+++ b/cedarledge/rig/schedule.py
@@ -34,7 +34,7 @@
     return int(seconds * SECOND)
 
 
-def plan_of(
+def build_plan(
     scenario: Scenario,
     seed: int,
     *,
--- a/cedarledge/rig/soak.py
+++ b/cedarledge/rig/soak.py
@@ -16,7 +16,7 @@
 import tomli_w
 
 from cedarledge.rig.scenario import Fault, Scenario, load_scenario
-from cedarledge.rig.schedule import plan_of
+from cedarledge.rig.schedule import build_plan
 from cedarledge.standins.acquaintance import still
 
 # Faults begin once the relays hold clients, and end before the run does, so that their effects are seen.
@@ -92,7 +92,7 @@
     problem: str = ""  # why the run could not be made or counts for nothing
 
     @property
-    def holds(self) -> bool:
+    def passed(self) -> bool:
         return not (self.rules or self.invariants or self.tracebacks or self.problem)
 
 
@@ -159,7 +159,7 @@
     scenario = soak_scenario(seed, relays, seconds)
     path, out = folder / "scenario.toml", folder / "out.json"
     path.write_text(tomli_w.dumps(msgspec.to_builtins(scenario)))
-    plan = plan_of(load_scenario(str(path)), seed)
+    plan = build_plan(load_scenario(str(path)), seed)
     result = SoakResult(seed, [fault.kind for fault in scenario.fault], {}, {}, 0, 0, [])
     for _ in range(TRIES):
         out.unlink(missing_ok=True)
--- a/cedarledge/rig/variants.py
+++ b/cedarledge/rig/variants.py
@@ -23,7 +23,7 @@
     takes_file: bool = False
 
 
-def variant_of(
+def create_variant(
     policy: str = "cedarledge", operator_file: str | None = None, checkout: str | None = None
 ) -> Variant:
     """Raises BadFileError for what is not there."""
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -10,7 +10,7 @@
 from pytest import mark
 
 from cedarledge.rig.scenario import Scenario
-from cedarledge.rig.schedule import plan_of
+from cedarledge.rig.schedule import build_plan
 from cedarledge.standins.books import (
     Alien,
     Book,
@@ -32,7 +32,7 @@
 from cedarledge.standins.plan import Act
 from cedarledge.terms import MS, SECOND
 
-PLAN = plan_of(Scenario("Test", seconds=20.0), 1)
+PLAN = build_plan(Scenario("Test", seconds=20.0), 1)
 LIVE, MAP, STATE, BOOKING = range(4)
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -49,9 +49,9 @@
 import sys
 from cedarledge.rig.run import run_plan
 from cedarledge.rig.scenario import load_scenario
-from cedarledge.rig.schedule import plan_of
+from cedarledge.rig.schedule import build_plan
 from cedarledge.rig.variants import Variant
-plan = plan_of(load_scenario(sys.argv[1]), 1, relays=1)
+plan = build_plan(load_scenario(sys.argv[1]), 1, relays=1)
 verdict = run_plan(plan, Variant("stub", [sys.executable, *sys.argv[2:]]))
 print({rule: count for rule, count in verdict.counts.items() if count})
 """
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -20,8 +20,8 @@
 from cedarledge.net.timers import Timers
 from cedarledge.operator.file import OperatorFile, read_operator_file
 from cedarledge.operator.tables import BadFileError, read_tables
-from cedarledge.rig.scenario import Scenario, load_scenario, shipped
-from cedarledge.rig.schedule import plan_of
+from cedarledge.rig.scenario import Scenario, load_scenario, shipped_scenarios
+from cedarledge.rig.schedule import build_plan
 from cedarledge.terms import ExternalView
 
 
@@ -166,12 +166,12 @@
 
 
 def test_shipped_scenarios_are_valid_and_their_plans_depend_on_the_seed_alone() -> None:
-    assert len(shipped()) >= 20
-    for name in shipped():
+    assert len(shipped_scenarios()) >= 20
+    for name in shipped_scenarios():
         scenario = load_scenario(name)
-        assert plan_of(scenario, 5) == plan_of(scenario, 5)
-        assert all(act.at >= 0 for act in plan_of(scenario, 5).acts)
-        assert plan_of(scenario, 5) != plan_of(scenario, 6)
+        assert build_plan(scenario, 5) == build_plan(scenario, 5)
+        assert all(act.at >= 0 for act in build_plan(scenario, 5).acts)
+        assert build_plan(scenario, 5) != build_plan(scenario, 6)
     with raises(BadFileError, match="rig list"):
         load_scenario("none")
     with raises(BadFileError, match=r"fault\[0\].kind"):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -6,7 +6,7 @@
 
 from pytest import mark
 
-from cedarledge.rig.schedule import plan_of
+from cedarledge.rig.schedule import build_plan
 from cedarledge.rig.soak import CROWD_EVERY, broken_invariants, soak_one, soak_scenario
 
 # In CI: short, few processes, every kind of fault within these. By hand many more, of full size.
@@ -17,7 +17,7 @@
 def test_each_seed_gives_a_plan_whose_faults_overlap_steps_of_the_clock(seed: int) -> None:
     scenario = soak_scenario(seed)
     assert scenario == soak_scenario(seed)
-    plan = plan_of(scenario, seed)
+    plan = build_plan(scenario, seed)
     assert any(act.what == "step" for act in plan.acts)
     assert len(plan.faults) >= 6
     assert all(begin >= 4 and end <= plan.seconds - 4 + 0.01 for _, begin, end in plan.faults)
@@ -37,5 +37,5 @@
 @mark.parametrize("seed", SEEDS)
 def test_random_overlapping_faults_break_no_rule(tmp_path: Path, seed: int) -> None:
     result = soak_one(seed, tmp_path, RELAYS, SECONDS)
-    assert result.holds, result
+    assert result.passed, result
     assert result.connections > 100
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -10,17 +10,17 @@
 from hypothesis import strategies as st
 from pytest import approx, mark, raises
 
-from cedarledge.rig.compare import FIGURES, compare, interval
+from cedarledge.rig.compare import COMPARED_METRICS, bootstrap_interval, compare
 from cedarledge.rig.report import write_report
 from cedarledge.rig.scenario import Scenario
-from cedarledge.rig.schedule import plan_of
+from cedarledge.rig.schedule import build_plan
 from cedarledge.standins.books import BoxSecond, Second
 from cedarledge.standins.box_model import MOST_PILED, BoxModel
 from cedarledge.standins.judge import RULES, Judge
 from cedarledge.standins.plan import BoxPlan
 from cedarledge.terms import MS, SECOND
 
-TERMS = plan_of(Scenario("Test"), 1).box_terms
+TERMS = build_plan(Scenario("Test"), 1).box_terms
 BOX = BoxPlan("s-1", 0, "zone-1", "full", 2.0, 1.0, 3, True)
 
 
@@ -134,18 +134,18 @@
     assert better["credit served"].verdict == better["setups per tunnel"].verdict == "better"
     assert better["credit served"].low > 0
     assert better["relay cpu s"].verdict == "no difference seen"
-    assert set(better) == {name for name, _, _ in FIGURES}
+    assert set(better) == {name for name, _, _ in COMPARED_METRICS}
     mixed = compare([told(0.5), told(0.6), told(0.7)], [told(0.6), told(0.5), told(0.7)])
     assert {line.verdict for line in mixed} == {"no difference seen"}
     assert compare([told(0.5)], [told(0.9)])[0].verdict == "no difference seen", "one pair proves nothing"
     with raises(ValueError, match="make no pairs"):
         compare([told(0.5)], [])
-    low, high = interval([0.1, 0.2, 0.15, 0.12, 0.18])
+    low, high = bootstrap_interval([0.1, 0.2, 0.15, 0.12, 0.18])
     assert 0.1 < low < 0.15 < high < 0.2
 
 
 def test_a_report_holds_its_plots_and_says_what_broke(tmp_path: Path) -> None:
-    plan = plan_of(Scenario("Test", name="test"), 4)
+    plan = build_plan(Scenario("Test", name="test"), 4)
     records = [Second(second, 0, 5.0, 4.0) for second in range(20)]
     records += [BoxSecond(second, 0, 0.5, 3) for second in range(20)]
     path = write_report(tmp_path / "new", "A <title>", "about", plan, Judge(plan, records).verdict())
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -19,7 +19,7 @@
 from cedarledge.operator.tables import BadFileError, read_tables
 from cedarledge.peers.shell import MAX_LOG_LINES, Shell
 from cedarledge.rig.scenario import Scenario, Zones, load_scenario, without_operator
-from cedarledge.rig.schedule import plan_of
+from cedarledge.rig.schedule import build_plan
 from cedarledge.standins.lanes import Lanes
 from cedarledge.standins.plan import Act, peer_address, peer_lane_address
 from cedarledge.standins.stage import Stage
@@ -102,7 +102,7 @@
     def __init__(self, **zones: object) -> None:
         scenario = Scenario("Test", relays=3, zones=Zones(**zones))
         self.clock, timers = virtual_timers()
-        self.lanes = Lanes(Stage(None, timers, timers.now, plan_of(scenario, 1), 7, None), 0, 1)
+        self.lanes = Lanes(Stage(None, timers, timers.now, build_plan(scenario, 1), 7, None), 0, 1)
         self.came: list[tuple[int, bytes]] = []
         for door in self.lanes.doors:
             door.transport = SimpleNamespace(
@@ -167,7 +167,7 @@
     with raises(BadFileError, match=r"zones.regions: 3 of 2 zones"):
         read_tables({"title": "x", "zones": {"regions": 3}}, Scenario)
     told = load_scenario("peers")
-    on, off = plan_of(told, 1), plan_of(without_operator(told), 1)
+    on, off = build_plan(told, 1), build_plan(without_operator(told), 1)
     assert on.peers and not off.peers and not [act for act in off.acts if act.who == "lane"]
     assert [act for act in on.acts if act.who == "relay"] == [act for act in off.acts if act.who == "relay"]
     done = subprocess.run(
