--- a/cedarledge/cli.py
+++ b/cedarledge/cli.py
@@ -25,7 +25,7 @@
 from cedarledge.peers.command import peers
 from cedarledge.rig.variants import BASELINES
 from cedarledge.scale.command import scale
-from cedarledge.standins.plan import MOST_BOXES, MOST_RELAYS
+from cedarledge.standins.plan import MAX_BOXES, MAX_RELAYS
 
 RULE_BROKEN, BAD_FILE, STANDINS_LATE = 1, 2, 3
 
@@ -81,12 +81,12 @@
     for option in (
         click.option(
             "--relays",
-            type=click.IntRange(1, MOST_RELAYS),
+            type=click.IntRange(1, MAX_RELAYS),
             help="Number of relays instead of the scenario's.",
         ),
         click.option(
             "--boxes",
-            type=click.IntRange(1, MOST_BOXES),
+            type=click.IntRange(1, MAX_BOXES),
             help="Number of backends instead of the scenario's.",
         ),
         click.option("--rate", type=click.FloatRange(0.1), help="New connections a second."),
@@ -133,7 +133,7 @@
         click.echo(f"cedarledge: {why}", err=True)
         sys.exit(STANDINS_LATE if isinstance(why, TooSlowError) else RULE_BROKEN)
     if out:
-        figures = verdict.flat() | {"variant": variant.name}
+        figures = verdict.to_flat_dict() | {"variant": variant.name}
         Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(figures), indent=1))
     if report:
         from cedarledge.rig.report import write_report
@@ -150,7 +150,7 @@
 
 
 def _exit_with_verdict(verdict: Any) -> None:
-    sys.exit(STANDINS_LATE if verdict.standins_late else 0 if verdict.holds else RULE_BROKEN)
+    sys.exit(STANDINS_LATE if verdict.standins_late else 0 if verdict.passed else RULE_BROKEN)
 
 
 @rig.command()
@@ -317,7 +317,7 @@
 @rig.command()
 @click.option("--seeds", default="1-5", show_default=True, help="A range like 1-50.")
 @click.option(
-    "--relays", type=click.IntRange(1, MOST_RELAYS), help="Number of relays instead of a random one."
+    "--relays", type=click.IntRange(1, MAX_RELAYS), help="Number of relays instead of a random one."
 )
 @click.option("--seconds", type=click.FloatRange(12, 120), help="Length of each run.")
 @click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Parallel runs.")
@@ -369,7 +369,8 @@
     plan = plan_of(loaded, seed, seconds=seconds)
     click.echo(
         f"{plan.relays} relays, {len(plan.boxes)} emulated backends, about "
-        f"{plan.client_terms.standing} clients, for {seconds:g} s; on loopback, as process {os.getpid()}."
+        f"{plan.client_settings.initial_clients} clients, for {seconds:g} s; on loopback, "
+        f"as process {os.getpid()}."
     )
     verdict = _run(loaded, plan, variant_of(), LiveTable(plan), None, out, report)
     click.echo(summary(verdict))
--- a/cedarledge/rig/looks.py
+++ b/cedarledge/rig/looks.py
@@ -8,8 +8,8 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from cedarledge.peers.messages import FORMAT, Kind, Message, decode_view, encode
-from cedarledge.standins.books import Seen
-from cedarledge.standins.plan import asker_address, peer_address
+from cedarledge.standins.event_log import MembershipView
+from cedarledge.standins.plan import membership_sampler_address, peer_address
 from cedarledge.terms import MS
 
 if TYPE_CHECKING:
@@ -30,7 +30,9 @@
         self.held: dict[int, dict[str, str]] = {}  # by relay, the parts of the view that is being told
 
     def open(self) -> None:
-        self.run.reactor.listenUDP(self.run.port, self, interface=asker_address(), maxPacketSize=65536)
+        self.run.reactor.listenUDP(
+            self.run.port, self, interface=membership_sampler_address(), maxPacketSize=65536
+        )
         self._look()
 
     def _look(self) -> None:
@@ -40,7 +42,7 @@
         self.run.timers.after(LOOK_EVERY, self._look)
 
     def _ask(self, relay: int, first: int) -> None:
-        own = f"{asker_address()}:{self.run.port}"
+        own = f"{membership_sampler_address()}:{self.run.port}"
         asked = Message(FORMAT, self.fleet, Kind.SHOW, "staff", own, 0, 0, first)
         self.transport.write(encode(asked), (peer_address(relay), self.run.port))
 
@@ -59,5 +61,5 @@
             return
         self.held.pop(relay)
         self.run.book.write(
-            Seen(self.run.now(), relay, {self.names[name]: state for name, state in held.items()})
+            MembershipView(self.run.now(), relay, {self.names[name]: state for name, state in held.items()})
         )
--- a/cedarledge/rig/run.py
+++ b/cedarledge/rig/run.py
@@ -25,22 +25,22 @@
 from cedarledge.net.reactor import install_reactor
 from cedarledge.net.timers import Timer, Timers
 from cedarledge.rig.variants import Variant
-from cedarledge.standins.books import Book, Late, Life, read_books
-from cedarledge.standins.clients import Ping, connect
+from cedarledge.standins.clients import PingProbe, connect_to_relay
 from cedarledge.standins.discovery import Discovery
+from cedarledge.standins.event_log import EventLog, RelayLifetime, TimerLateness, read_event_logs
 from cedarledge.standins.judge import Judge, Verdict
 from cedarledge.standins.plan import (
-    Act,
     Plan,
-    Post,
+    ProcessSpec,
+    ScheduledEvent,
     discovery_address,
-    discovery_way_address,
+    discovery_proxy_address,
     peer_address,
-    peer_lane_address,
+    peer_proxy_address,
     relay_address,
 )
-from cedarledge.standins.stage import Stage
-from cedarledge.standins.worker import Lateness
+from cedarledge.standins.process_context import ProcessContext
+from cedarledge.standins.worker import LatenessMonitor
 from cedarledge.terms import MS, SECOND
 
 PORTS = (10_000, 28_000)
@@ -79,7 +79,7 @@
 
 
 class WorkerProcess(ProcessProtocol):
-    def __init__(self, run: Run, post: Post) -> None:
+    def __init__(self, run: Run, post: ProcessSpec) -> None:
         self.run = run
         self.post = post
         self.ready = self.over = False
@@ -139,8 +139,8 @@
 
     def _ask(self) -> None:
         if self.ready is None and not self.over:
-            ping = Ping(self.run.timers, self._answers)
-            connect(self.run.reactor, self.relay, self.run.port, ping, lambda _why: None)
+            ping = PingProbe(self.run.timers, self._answers)
+            connect_to_relay(self.run.reactor, self.relay, self.run.port, ping, lambda _why: None)
             self.run.timers.after(READY_EVERY, self._ask)
 
     def _answers(self) -> None:
@@ -194,7 +194,7 @@
         if not how or how == "overran" or (how == "stopped" and code != 0):
             how = "crashed"
         self.run.book.write(
-            Life(self.relay, self.began, self.ready, self.run.now(), how, code, self.cpu, self.peak)
+            RelayLifetime(self.relay, self.began, self.ready, self.run.now(), how, code, self.cpu, self.peak)
         )
         self.log.close()
         if self.restarts:
@@ -220,9 +220,9 @@
         self.port, self.lock = free_port()
         ports = len(plan.boxes) * plan.relays
         parts = {
-            "boxes": 1 + max(len(plan.boxes) // 80, plan.client_terms.standing // 2500),
-            "clients": 1 + plan.client_terms.standing // 1200,
-        } | ({"lanes": 1} if plan.peers or plan.on_ways else {})
+            "boxes": 1 + max(len(plan.boxes) // 80, plan.client_settings.initial_clients // 2500),
+            "clients": 1 + plan.client_settings.initial_clients // 1200,
+        } | ({"lanes": 1} if plan.peers_enabled or plan.proxied_relays else {})
         self._prepare_faults()
         lead = START_WITHIN + START_A_PORT * ports // parts["boxes"] + 200 * MS * sum(parts.values())
         lead += START_A_RELAY * plan.relays
@@ -230,9 +230,9 @@
         self.begin_unix_ms = (time.time_ns() + lead) // MS
         self.timers = Timers(reactor, self.now)
         self.books = [folder / "rig.book"]
-        self.book = Book(self.books[0])
-        self.lateness = Lateness(self.timers, self.now)
-        stage = Stage(reactor, self.timers, self.now, plan, self.port, self.book)
+        self.book = EventLog(self.books[0])
+        self.lateness = LatenessMonitor(self.timers, self.now)
+        stage = ProcessContext(reactor, self.timers, self.now, plan, self.port, self.book)
         self.discovery = Discovery(stage, self.begin_unix_ms)
         self.workers: list[WorkerProcess] = []
         self.relays: dict[int, RelayProcess] = {}
@@ -244,16 +244,20 @@
                 self.workers.append(
                     WorkerProcess(
                         self,
-                        Post(plan, role, part, count, self.port, self.begin, self.begin_unix_ms, str(book)),
+                        ProcessSpec(
+                            plan, role, part, count, self.port, self.begin, self.begin_unix_ms, str(book)
+                        ),
                     )
                 )
 
     def _prepare_faults(self) -> None:
         """Wall clocks and system calls of relays, which outlive their processes. Libraries are compiled once
         and before the run's beginning is set: each takes a tenth of a second."""
-        stepped = {act.which for act in self.plan.acts if act.who == "relay" and act.what == "step"}
+        stepped = {act.index for act in self.plan.events if act.target == "relay" and act.action == "step"}
         failing = {
-            act.which: act.size for act in self.plan.acts if act.who == "relay" and act.what == "system_calls"
+            act.index: act.size
+            for act in self.plan.events
+            if act.target == "relay" and act.action == "system_calls"
         }
         clock_library = build("wall_clock", self.folder) if stepped else None
         calls_library = build("system_calls", self.folder) if failing else None
@@ -275,7 +279,7 @@
 
     def start(self) -> None:
         self.discovery.open()
-        if self.plan.peers:
+        if self.plan.peers_enabled:
             from cedarledge.rig.looks import Looks
 
             Looks(self, self.plan.operator["peers"]["fleet"]).open()
@@ -308,8 +312,9 @@
                     "discovery": f"{self._discovery(relay)}:{self.port}",
                     "seed": f"{chance.getrandbits(64):016x}",
                     "limits": {"cores": 1.0, "memory_mb": self.plan.memory_mb, "sockets": self.plan.sockets},
-                    "known": self.discovery.known(relay),
-                    "settings": self.plan.settings | {"me": relay, "zone": self.plan.zones.of_relay(relay)},
+                    "known": self.discovery.initial_list(relay),
+                    "settings": self.plan.settings
+                    | {"me": relay, "zone": self.plan.zones.zone_of_relay(relay)},
                 }
             )
         )
@@ -323,16 +328,17 @@
         self.reactor.spawnProcess(process, command[0], command, env=env, path=self.variant.cwd)
 
     def _discovery(self, relay: int) -> str:
-        return (discovery_way_address if relay in self.plan.on_ways else discovery_address)(relay)
+        return (discovery_proxy_address if relay in self.plan.proxied_relays else discovery_address)(relay)
 
     def _operator_file(self, relay: int) -> str:
         told = dict(self.plan.operator)
-        if self.plan.peers:
+        if self.plan.peers_enabled:
             told["peers"] = told["peers"] | {
-                "region": f"region-{self.plan.zones.region(self.plan.zones.of_relay(relay)) + 1}",
+                "region": "region-"
+                f"{self.plan.zones.region_of_zone(self.plan.zones.zone_of_relay(relay)) + 1}",
                 "listen": f"{peer_address(relay)}:{self.port}",
-                "told": f"{peer_lane_address(relay)}:{self.port}",
-                "seeds": [f"{peer_lane_address(seed)}:{self.port}" for seed in range(3)],
+                "told": f"{peer_proxy_address(relay)}:{self.port}",
+                "seeds": [f"{peer_proxy_address(seed)}:{self.port}" for seed in range(3)],
             }
         path = self.folder / f"operator-{relay}.toml"
         path.write_bytes(msgspec.toml.encode(told))
@@ -349,29 +355,29 @@
             return
         self.lateness.begin()
         self.discovery.begin()
-        for act in self.plan.acts:
-            if act.who == "relay":
+        for act in self.plan.events:
+            if act.target == "relay":
                 self.timers.after(act.at - self.now(), self._played, act)
         self._second(1)
         self.timers.after(int(self.plan.seconds * SECOND) + 100 * MS - self.now(), self._end)
 
-    def _played(self, act: Act) -> None:
-        process = self.relays[act.which]
-        if act.what == "system_calls":
+    def _played(self, act: ScheduledEvent) -> None:
+        process = self.relays[act.index]
+        if act.action == "system_calls":
             return  # it was started with them
-        if act.what == "kill":
+        if act.action == "kill":
             process.end("killed", "KILL")
-        elif act.what == "stop":
+        elif act.action == "stop":
             process.stop()
-        elif act.what == "step":
-            self.clocks[act.which].step(int(act.size))
-        elif act.what == "signal":
+        elif act.action == "step":
+            self.clocks[act.index].step(int(act.size))
+        elif act.action == "signal":
             process.signal_again()
-        elif act.what in ("pause", "resume"):
+        elif act.action in ("pause", "resume"):
             if not process.over:
-                process.transport.signalProcess(signal.SIGSTOP if act.what == "pause" else signal.SIGCONT)
+                process.transport.signalProcess(signal.SIGSTOP if act.action == "pause" else signal.SIGCONT)
         elif process.over:
-            self.start_relay(act.which, act.relay if act.relay >= 0 else None)
+            self.start_relay(act.index, act.relay if act.relay >= 0 else None)
 
     def _second(self, second: int) -> None:
         self.timers.after(second * SECOND + 150 * MS - self.now(), self._tell, second)
@@ -408,7 +414,7 @@
         if not all(process.over for process in (*self.relays.values(), *self.workers)):
             self.timers.after(100 * MS, self._close)
             return
-        self.book.write(Late("rig", self.lateness.worst, self.lateness.at))
+        self.book.write(TimerLateness("rig", self.lateness.worst, self.lateness.at))
         self.reactor.stop()
 
     def fail(self, why: str, kind: type[RunError] = RunError) -> None:
@@ -453,4 +459,4 @@
             clock.close()
         if run.failure is not None:
             raise run.failure
-        return Judge(plan, read_books(run.books)).verdict()
+        return Judge(plan, read_event_logs(run.books)).verdict()
--- a/cedarledge/rig/scenario.py
+++ b/cedarledge/rig/scenario.py
@@ -12,7 +12,7 @@
 
 from cedarledge.operator.file import OperatorFile
 from cedarledge.operator.tables import BadFileError, read_raw, read_tables
-from cedarledge.standins.plan import MOST_BOXES, MOST_RELAYS
+from cedarledge.standins.plan import MAX_BOXES, MAX_RELAYS
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Above = Annotated[float, Meta(gt=0)]
@@ -157,8 +157,8 @@
     name: str = ""
     seconds: Annotated[float, Meta(ge=4, le=3600)] = 24.0
     warm_up: NotBelow = 6.0  # service counts from then on; the rules count throughout
-    relays: Annotated[int, Meta(ge=1, le=MOST_RELAYS)] = 2
-    boxes: Annotated[int, Meta(ge=1, le=MOST_BOXES)] = 12
+    relays: Annotated[int, Meta(ge=1, le=MAX_RELAYS)] = 2
+    boxes: Annotated[int, Meta(ge=1, le=MAX_BOXES)] = 12
     rate: Above = 30.0  # newcomers a second
     life: Above = 12.0  # mean seconds that a client stays
     load: Above = 0.45  # asked of the fleet over what it can do, with everybody there
--- a/cedarledge/rig/schedule.py
+++ b/cedarledge/rig/schedule.py
@@ -10,7 +10,15 @@
 
 from cedarledge.operator.file import OperatorFile
 from cedarledge.rig.scenario import RESTARTS, BoxKind, Fault, Scenario
-from cedarledge.standins.plan import Act, BoxPlan, BoxTerms, ClientTerms, Plan, ProfilePlan, ZoneTerms
+from cedarledge.standins.plan import (
+    BoxPlan,
+    BoxSettings,
+    ClientSettings,
+    Plan,
+    ProfilePlan,
+    ScheduledEvent,
+    ZoneLayout,
+)
 from cedarledge.terms import MS, SECOND
 
 # How late discovery tells of a box that died, and of one that is there again.
@@ -74,46 +82,46 @@
         for row in scenario.profile
     )
     box = scenario.box
-    terms = BoxTerms(
-        message=int(box.message_ms * MS),
-        setup=int(box.setup_ms * MS),
+    terms = BoxSettings(
+        message_time=int(box.message_ms * MS),
+        setup_time=int(box.setup_ms * MS),
         round_trip=int(box.round_trip_ms * MS),
-        queue=ns(box.queue_s),
-        refresh=ns(box.refresh_s),
-        behind=ns(box.behind_s),
+        max_backlog=ns(box.queue_s),
+        report_interval=ns(box.refresh_s),
+        report_delay=ns(box.behind_s),
         cold_from=box.cold_from,
-        warm_within=ns(box.warm_within_s),
-        fall_multiple=box.fall_multiple,
-        fall_span=ns(box.fall_span_s),
-        fallen_for=ns(box.fallen_for_s),
+        warmup_duration=ns(box.warm_within_s),
+        overload_multiple=box.fall_multiple,
+        overload_duration=ns(box.fall_span_s),
+        restart_delay=ns(box.fallen_for_s),
         move_after=ns(box.move_after_s),
     )
-    clients = ClientTerms(
-        rate=rate,
-        standing=standing,
-        ramp=ns(min(0.8 * scenario.warm_up or 1.0, max(3.0, standing / COMING))),
-        life=ns(scenario.life),
-        line_every=ns(scenario.clients.line_every),
-        retries=scenario.clients.retries,
+    clients = ClientSettings(
+        arrival_rate=rate,
+        initial_clients=standing,
+        ramp_up=ns(min(0.8 * scenario.warm_up or 1.0, max(3.0, standing / COMING))),
+        mean_lifetime=ns(scenario.life),
+        message_interval=ns(scenario.clients.line_every),
+        max_retries=scenario.clients.retries,
         backoff=ns(scenario.clients.backoff),
-        come_back=ns(scenario.clients.come_back),
-        keys=scenario.clients.keys,
-        front_every=ns(0.5),
-        front_after=ns(1.6),
+        return_delay=ns(scenario.clients.come_back),
+        key_count=scenario.clients.keys,
+        health_check_interval=ns(0.5),
+        health_check_timeout=ns(1.6),
     )
-    zones = ZoneTerms(
+    zones = ZoneLayout(
         tuple(f"zone-{zone + 1}" for zone in range(box.zones)),
         scenario.zones.regions,
         int(scenario.zones.trip_ms / 2 * MS),
         int(scenario.zones.region_trip_ms / 2 * MS),
         scenario.zones.home,
     )
-    far = zones.between_zones or zones.between_regions
+    far = zones.zone_delay or zones.region_delay
     schedule = Schedule(chance, table, relays, length, zones)
     for fault in scenario.fault:
         if fault.start < length:
             schedule.add(fault)
-    acts = tuple(sorted(schedule.acts, key=lambda act: (act.at, act.who, act.which, act.what)))
+    acts = tuple(sorted(schedule.acts, key=lambda act: (act.at, act.target, act.index, act.action)))
     spans = tuple(
         (fault.kind, fault.start, min(length, fault.start + fault.length))
         for fault in scenario.fault
@@ -137,7 +145,7 @@
         told_settings(scenario, relays),
         zones,
         {} if scenario.operator == OperatorFile() else msgspec.to_builtins(scenario.operator),
-        tuple(range(relays) if far else sorted({act.relay for act in acts if act.who == "way"})),
+        tuple(range(relays) if far else sorted({act.relay for act in acts if act.target == "way"})),
     )
 
 
@@ -219,14 +227,14 @@
         table: tuple[BoxPlan, ...],
         relays: int,
         seconds: float,
-        zones: ZoneTerms,
+        zones: ZoneLayout,
     ) -> None:
         self.chance = chance
         self.table = table
         self.zones = zones
         self.relays = relays
         self.seconds = seconds
-        self.acts: list[Act] = []
+        self.acts: list[ScheduledEvent] = []
         self.first = [index for index, box in enumerate(table) if box.at_start]
         self.new = [index for index, box in enumerate(table) if not box.at_start]
         # Boxes that a fault takes down or drains: another one of that sort finds its own.
@@ -240,7 +248,7 @@
     def _act(
         self, at: float, who: str, what: str, which: int = -1, size: float = 0.0, relay: int = -1
     ) -> None:
-        self.acts.append(Act(ns(at), who, what, which, size, relay))
+        self.acts.append(ScheduledEvent(ns(at), who, what, which, size, relay))
 
     def _some(self, fault: Fault) -> list[int]:
         """The boxes it is about, at least one; never all at once for those that restart."""
@@ -440,7 +448,7 @@
                 self._act(fault.start + told, "list", "removed", box)
             self._starts(box, fault.start + fault.length)
         for relay in range(self.relays):
-            if self.zones.of_relay(relay) == zone:
+            if self.zones.zone_of_relay(relay) == zone:
                 self._act(fault.start, "relay", "kill", relay)
                 self._act(fault.start + fault.length, "relay", "start", relay)
 
--- a/cedarledge/rig/soak.py
+++ b/cedarledge/rig/soak.py
@@ -17,7 +17,7 @@
 
 from cedarledge.rig.scenario import Fault, Scenario, load_scenario
 from cedarledge.rig.schedule import plan_of
-from cedarledge.standins.acquaintance import still
+from cedarledge.standins.membership_audit import pause_spans
 
 # Faults begin once the relays hold clients, and end before the run does, so that their effects are seen.
 FIRST_FAULT, LAST_FAULT_BEFORE_END = 4.0, 4.0
@@ -178,7 +178,7 @@
             break
     else:
         return result
-    return _judged(result, msgspec.json.decode(out.read_bytes()), folder, frozenset(still(plan)))
+    return _judged(result, msgspec.json.decode(out.read_bytes()), folder, frozenset(pause_spans(plan)))
 
 
 def _judged(
--- a/cedarledge/standins/boxes.py
+++ b/cedarledge/standins/boxes.py
@@ -13,10 +13,10 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from cedarledge.standins.books import Alien, BoxSecond, Fell, Setup
 from cedarledge.standins.box_model import BoxModel
-from cedarledge.standins.plan import BAD_ID, OTHER_PORT, Act, BoxPlan, box_address
-from cedarledge.standins.stage import Player, Stage
+from cedarledge.standins.event_log import BoxAttempt, BoxLoad, ColdOverload, UnexpectedLine
+from cedarledge.standins.plan import BAD_ID, OTHER_PORT, BoxPlan, ScheduledEvent, box_address
+from cedarledge.standins.process_context import Player, ProcessContext
 from cedarledge.terms import MS, SECOND
 
 # A line that was longer than this on its way between two stand-ins was held back by the relay between them.
@@ -41,7 +41,7 @@
         self.relay = relay
         self.rest = b""
         self.began = -1
-        self.entry: Setup | None = None
+        self.entry: BoxAttempt | None = None
         self.load = 0.0
         self.is_open = self.ending = False
         self.next_line = 0
@@ -94,7 +94,7 @@
             self.end()
             return
         now = self.box.now()
-        self.entry = Setup(self.box.index, self.relay, words[1], self.began, now)
+        self.entry = BoxAttempt(self.box.index, self.relay, words[1], self.began, now)
         self.box.set_up(self, profile.load, int(wait) * MS)
 
     def _message(self, line: bytes) -> None:
@@ -188,7 +188,7 @@
         self.fleet = fleet
         self.index = index
         self.plan = plan
-        self.model = BoxModel(plan, fleet.plan.box_terms, 0, cold=False)
+        self.model = BoxModel(plan, fleet.plan.box_settings, 0, cold=False)
         self.links: dict[BoxLink, None] = {}
         self.ports: list[Any] = []
         self.up = False
@@ -207,7 +207,7 @@
         if self.up:
             return
         self.up = True
-        self.model = BoxModel(self.plan, self.fleet.plan.box_terms, self.now(), cold)
+        self.model = BoxModel(self.plan, self.fleet.plan.box_settings, self.now(), cold)
         for relay in range(self.fleet.plan.relays):
             self.ports.append(
                 self.fleet.reactor.listenTCP(
@@ -239,7 +239,7 @@
         told = self.model.report(now)
         line = b"PONG utilization=%.4f,recent_ms=%.3f,x0=%.4f,x1=%.4f" % told[:4]
         # A probe is served ahead of the tunnels, as by a thread of its own.
-        self.after(self.fleet.plan.box_terms.message // 4, link.say, line)
+        self.after(self.fleet.plan.box_settings.message_time // 4, link.say, line)
 
     def set_up(self, link: BoxLink, load: float, wait: int) -> None:
         now, model = self.now(), self.model
@@ -279,9 +279,9 @@
             link.end()
 
     def _fall(self, now: int) -> None:
-        self.fleet.book.write(Fell(now, self.index, self.model.asked(now)))
+        self.fleet.book.write(ColdOverload(now, self.index, self.model.asked(now)))
         self.stop()
-        self.after(self.fleet.plan.box_terms.fallen_for, self.start, True)
+        self.after(self.fleet.plan.box_settings.restart_delay, self.start, True)
 
     def send_away(self) -> None:
         """A draining box sends away who is still there."""
@@ -292,27 +292,27 @@
                     link.end()
 
     def alien(self, link: BoxLink, line: bytes) -> None:
-        self.fleet.book.write(Alien(self.now(), self.index, link.relay, line[:80].decode("latin-1")))
+        self.fleet.book.write(UnexpectedLine(self.now(), self.index, link.relay, line[:80].decode("latin-1")))
 
-    def played(self, act: Act) -> None:
+    def played(self, act: ScheduledEvent) -> None:
         """The schedule has something happen to this box."""
         model, now = self.model, self.now()
         model.advance(now)
-        if act.what == "slow":
+        if act.action == "slow":
             model.slow = act.size
-        elif act.what == "neighbour":
+        elif act.action == "neighbour":
             model.neighbour = act.size
-        elif act.what in ("hung", "failing", "frozen", "late_up"):
-            setattr(model, act.what, bool(act.size))
-        elif act.what == "drain":
+        elif act.action in ("hung", "failing", "frozen", "late_up"):
+            setattr(model, act.action, bool(act.size))
+        elif act.action == "drain":
             model.draining = True
-            self.after(self.fleet.plan.box_terms.move_after, self.send_away)
-        elif act.what == "start":
+            self.after(self.fleet.plan.box_settings.move_after, self.send_away)
+        elif act.action == "start":
             self.shift = OTHER_PORT if act.size else 0
             self.start(cold=True)
-        elif act.what == "stop":
+        elif act.action == "stop":
             self.stop()
-        elif act.what == "cut":
+        elif act.action == "cut":
             self.cut(act.relay, bool(act.size))
 
     def cut(self, relay: int, off: bool) -> None:
@@ -331,13 +331,13 @@
         if self.model.is_pushed_over(now):
             self._fall(now)
             return
-        self.fleet.book.write(BoxSecond(second, self.index, self.model.asked(now), self.model.held))
+        self.fleet.book.write(BoxLoad(second, self.index, self.model.asked(now), self.model.held))
 
 
 class Boxes(Player):
     """The boxes of one process: every `parts`-th of the plan."""
 
-    def __init__(self, stage: Stage, part: int, parts: int) -> None:
+    def __init__(self, stage: ProcessContext, part: int, parts: int) -> None:
         super().__init__(stage)
         plan = stage.plan
         self.profiles = {profile.name: profile for profile in plan.profiles}
@@ -353,9 +353,9 @@
 
     def begin(self) -> None:
         """Called at the run's start."""
-        for act in self.plan.acts:
-            box = self.boxes.get(act.which)
-            if act.who == "box" and box is not None:
+        for act in self.plan.events:
+            box = self.boxes.get(act.index)
+            if act.target == "box" and box is not None:
                 self.timers.after(act.at - self.now(), box.played, act)
         self._tick(0)
 
--- a/cedarledge/standins/clients.py
+++ b/cedarledge/standins/clients.py
@@ -19,9 +19,9 @@
 from zope.interface import implementer
 
 from cedarledge.net.timers import Timer, Timers
-from cedarledge.standins.books import Call, Rude, Second
-from cedarledge.standins.plan import BAD_ID, Act, relay_address
-from cedarledge.standins.stage import Player, Stage
+from cedarledge.standins.event_log import ClientRequest, MisbehavingClient, ServedSecond
+from cedarledge.standins.plan import BAD_ID, ScheduledEvent, relay_address
+from cedarledge.standins.process_context import Player, ProcessContext
 from cedarledge.terms import MS, SECOND
 
 HELD_BACK = SECOND
@@ -34,12 +34,14 @@
 ANSWERS = frozenset(("UP", "BUSY", "ERR"))
 
 
-def connect(reactor: Any, relay: int, port: int, link: Protocol, failed: Callable[[Failure], None]) -> None:
+def connect_to_relay(
+    reactor: Any, relay: int, port: int, link: Protocol, failed: Callable[[Failure], None]
+) -> None:
     endpoint = TCP4ClientEndpoint(reactor, relay_address(relay), port, timeout=CONNECT_WITHIN / SECOND)
     connectProtocol(endpoint, link).addErrback(failed)
 
 
-class Ping(Protocol):
+class PingProbe(Protocol):
     """The question whether a relay is there."""
 
     transport: Any
@@ -65,28 +67,28 @@
 class Front(Player):
     """Deals clients out over the relays that it believes to be there, each by a draw."""
 
-    def __init__(self, stage: Stage, chance: random.Random) -> None:
+    def __init__(self, stage: ProcessContext, chance: random.Random) -> None:
         super().__init__(stage)
         self.chance = chance
         self.heard = dict.fromkeys(range(stage.plan.relays), 0)
         self.stopping: set[int] = set()  # were asked to stop, and still answer
 
     def begin(self) -> None:
-        for act in self.plan.acts:
-            if act.who == "relay" and act.what == "stop":
+        for act in self.plan.events:
+            if act.target == "relay" and act.action == "stop":
                 self.timers.after(act.at + self.chance.randint(*STOP_SEEN) - self.now(), self._stops, act)
         for relay in range(self.plan.relays):
             self._ask(relay)
 
-    def _stops(self, act: Act) -> None:
-        self.heard[act.which] = -SECOND
-        self.stopping.add(act.which)
+    def _stops(self, act: ScheduledEvent) -> None:
+        self.heard[act.index] = -SECOND
+        self.stopping.add(act.index)
 
     def _ask(self, relay: int) -> None:
-        every = self.plan.client_terms.front_every
+        every = self.plan.client_settings.health_check_interval
         self.timers.after(int(every * (0.8 + 0.4 * self.chance.random())), self._ask, relay)
-        ping = Ping(self.timers, partial(self.pong, relay))
-        connect(self.reactor, relay, self.port, ping, lambda _why: self.stopping.discard(relay))
+        ping = PingProbe(self.timers, partial(self.pong, relay))
+        connect_to_relay(self.reactor, relay, self.port, ping, lambda _why: self.stopping.discard(relay))
 
     def pong(self, relay: int) -> None:
         if relay not in self.stopping:
@@ -94,9 +96,9 @@
 
     def pick(self, home: str = "") -> int:
         """One that is there, of the client's own zone while any is."""
-        since = self.now() - self.plan.client_terms.front_after
+        since = self.now() - self.plan.client_settings.health_check_timeout
         there = [relay for relay, at in self.heard.items() if at >= max(since, 0)]
-        near = [relay for relay in there if self.plan.zones.of_relay(relay) == home] if home else []
+        near = [relay for relay in there if self.plan.zones.zone_of_relay(relay) == home] if home else []
         return self.chance.choice(near or there or list(self.heard))
 
 
@@ -106,7 +108,7 @@
 
     transport: Any
 
-    def __init__(self, person: Person, call: Call, opening: bytes) -> None:
+    def __init__(self, person: Person, call: ClientRequest, opening: bytes) -> None:
         self.person = person
         self.crowd = person.crowd
         self.call = call
@@ -245,9 +247,9 @@
         wait = row.client_timeout
         marks = (",r=1" if self.tries else "") + (",again=1" if again else "")
         line = f"OPEN {tun} {self.key} c={row.name},d={wait // MS},g={self.key}{marks}\r\n"
-        call = Call(tun, relay, self.profile, crowd.now(), wait)
+        call = ClientRequest(tun, relay, self.profile, crowd.now(), wait)
         self.link = link = CallLink(self, call, line.encode())
-        connect(crowd.reactor, relay, crowd.port, link, lambda _why: self._unreached(link))
+        connect_to_relay(crowd.reactor, relay, crowd.port, link, lambda _why: self._unreached(link))
         self._wait(wait, self._gives_up, link)
 
     def _wait(self, delay: int, then: Callable[..., None], *args: Any) -> None:
@@ -276,15 +278,15 @@
     def refused(self, come_back: int) -> None:
         """This try came to nothing."""
         self._account(served=False)
-        crowd, terms = self.crowd, self.crowd.plan.client_terms
+        crowd, terms = self.crowd, self.crowd.plan.client_settings
         crowd.count("declined" if self.link.call.word == "BUSY" else "failed")
         self.link = None
         self.tries += 1
-        if self.tries <= terms.retries:
+        if self.tries <= terms.max_retries:
             wait = max(come_back, int(terms.backoff * 2 ** (self.tries - 1) * (0.5 + crowd.chance.random())))
         else:
             # It has had enough, and looks in again later as if for the first time.
-            wait = max(come_back, int(terms.come_back * (0.5 + crowd.chance.random())))
+            wait = max(come_back, int(terms.return_delay * (0.5 + crowd.chance.random())))
             self.tries = 0
         self._wait(wait, self._again, False)
 
@@ -306,7 +308,7 @@
             # While an echo is out no other line goes: the time of one is the time of the next.
             self.sent_at = now
             self.link.send(self.number)
-        every = crowd.plan.client_terms.line_every
+        every = crowd.plan.client_settings.message_interval
         self._wait(int(every * (0.9 + 0.2 * crowd.chance.random())), self._line)
 
     def echoed(self, number: int, now: int) -> None:
@@ -364,7 +366,7 @@
 class Crowd(Player):
     """The clients of one process: every `parts`-th newcomer."""
 
-    def __init__(self, stage: Stage, part: int, parts: int) -> None:
+    def __init__(self, stage: ProcessContext, part: int, parts: int) -> None:
         super().__init__(stage)
         plan = stage.plan
         self.part = part
@@ -380,41 +382,41 @@
 
     def begin(self) -> None:
         self.front.begin()
-        for act in self.plan.acts:
-            if act.who == "clients":
+        for act in self.plan.events:
+            if act.target == "clients":
                 self.timers.after(act.at - self.now(), self._played, act)
-        terms = self.plan.client_terms
-        mine = terms.standing // self.parts + (self.part < terms.standing % self.parts)
+        terms = self.plan.client_settings
+        mine = terms.initial_clients // self.parts + (self.part < terms.initial_clients % self.parts)
         for number in range(mine):
-            self.timers.after(terms.ramp * number // max(1, mine), self._comes)
+            self.timers.after(terms.ramp_up * number // max(1, mine), self._comes)
         # The crowd that stands already has its part of newcomers: who leaves is replaced.
-        self.timers.after(terms.ramp, self._next)
+        self.timers.after(terms.ramp_up, self._next)
 
     def _next(self) -> None:
-        rate = self.plan.client_terms.rate / self.parts
+        rate = self.plan.client_settings.arrival_rate / self.parts
         self.timers.after(int(self.chance.expovariate(rate) * SECOND), self._next)
         self._comes()
 
     def _comes(self) -> None:
-        life = max(2 * SECOND, int(self.chance.expovariate(1.0) * self.plan.client_terms.life))
+        life = max(2 * SECOND, int(self.chance.expovariate(1.0) * self.plan.client_settings.mean_lifetime))
         profile = self.chance.choices(range(len(self.shares)), self.shares)[0]
         key = (
             "hot"
             if self.chance.random() < self.hot
-            else f"k{self.chance.randrange(self.plan.client_terms.keys)}"
+            else f"k{self.chance.randrange(self.plan.client_settings.key_count)}"
         )
         person = Person(self, profile, key, self.now() + life)
         self.people[person] = None
         person.open(again=False)
 
-    def _played(self, act: Act) -> None:
-        if act.what == "hot":
+    def _played(self, act: ScheduledEvent) -> None:
+        if act.action == "hot":
             self.hot = act.size
-        elif act.what == "storm":
+        elif act.action == "storm":
             for person in list(self.people):
                 if self.chance.random() < act.size:
                     person.drop()
-        elif act.what == "rude":
+        elif act.action == "rude":
             idle, self.rude_rate = not self.rude_rate, act.size / self.parts
             if idle and self.rude_rate:
                 self._rude()
@@ -428,7 +430,7 @@
         kind = self.chance.choice(tuple(RUDE))
         relay = self.front.pick()
         self.count("rude")
-        connect(self.reactor, relay, self.port, RudeLink(self, kind, relay), lambda _why: None)
+        connect_to_relay(self.reactor, relay, self.port, RudeLink(self, kind, relay), lambda _why: None)
 
     # -- accounts ----------------------------------------------------------------------------------
 
@@ -448,7 +450,7 @@
         for person in list(self.people):
             person.end()
         for (second, profile), (wanted, served) in sorted(self.seconds.items()):
-            self.book.write(Second(second, profile, wanted, served))
+            self.book.write(ServedSecond(second, profile, wanted, served))
 
     def summary(self) -> dict[str, Any]:
         last = self.now() // SECOND - 3
@@ -491,7 +493,7 @@
 
     def __init__(self, crowd: Crowd, kind: str, relay: int) -> None:
         self.crowd = crowd
-        self.entry = Rude(0, relay, kind, -1, "")
+        self.entry = MisbehavingClient(0, relay, kind, -1, "")
 
     def connectionMade(self) -> None:  # noqa: N802
         self.entry.at = self.crowd.now()
--- a/cedarledge/standins/discovery.py
+++ b/cedarledge/standins/discovery.py
@@ -9,9 +9,15 @@
 from twisted.internet.protocol import Protocol, ServerFactory
 from twisted.python.failure import Failure
 
-from cedarledge.standins.books import Told
-from cedarledge.standins.plan import OTHER_PORT, Act, box_address, box_way_address, discovery_address
-from cedarledge.standins.stage import Player, Stage
+from cedarledge.standins.event_log import ListDelivery
+from cedarledge.standins.plan import (
+    OTHER_PORT,
+    ScheduledEvent,
+    box_address,
+    box_proxy_address,
+    discovery_address,
+)
+from cedarledge.standins.process_context import Player, ProcessContext
 from cedarledge.terms import MS, SECOND
 
 # Changes that are kept for watches; a watch from before them is given the whole list.
@@ -73,7 +79,7 @@
 class Discovery(Player):
     """The list, its history, and how it is told."""
 
-    def __init__(self, stage: Stage, begin_unix_ms: int) -> None:
+    def __init__(self, stage: ProcessContext, begin_unix_ms: int) -> None:
         super().__init__(stage)
         plan = stage.plan
         self.begin_unix_ms = begin_unix_ms
@@ -92,14 +98,14 @@
             self.reactor.listenTCP(self.port, DiscoveryPort(self, relay), interface=discovery_address(relay))
 
     def begin(self) -> None:
-        for act in self.plan.acts:
-            if act.who == "list":
+        for act in self.plan.events:
+            if act.target == "list":
                 self.timers.after(act.at - self.now(), self._played, act)
 
-    def _played(self, act: Act) -> None:
-        if act.what == "late":
+    def _played(self, act: ScheduledEvent) -> None:
+        if act.action == "late":
             self.late = int(act.size)
-        elif act.what == "mode":
+        elif act.action == "mode":
             self.mode = {0: "", 1: "down", 2: "back", 3: "repeat", 4: "cut"}[int(act.size)]
             if self.mode == "down":
                 for link in list(self.links):
@@ -107,24 +113,24 @@
         else:
             self._changed(act)
 
-    def _changed(self, act: Act) -> None:
+    def _changed(self, act: ScheduledEvent) -> None:
         self.revision += 1
-        if act.what == "up":
+        if act.action == "up":
             # When it started, which may be a while before it is told of.
-            self.started[act.which] = self.begin_unix_ms + int(act.size) // MS
-            self.shifts[act.which] = OTHER_PORT if act.relay > 0 else 0
-        self.phases[act.which] = act.what
-        self.history = [*self.history, (self.revision, act.which)][-MOST_CHANGES:]
+            self.started[act.index] = self.begin_unix_ms + int(act.size) // MS
+            self.shifts[act.index] = OTHER_PORT if act.relay > 0 else 0
+        self.phases[act.index] = act.action
+        self.history = [*self.history, (self.revision, act.index)][-MOST_CHANGES:]
         for link in [link for link in self.links if link.since >= 0]:
             self._answer(link, link.since)
-        self.timers.after(TOLD_BY, self._must_know, self.revision, act.which, act.what)
+        self.timers.after(TOLD_BY, self._must_know, self.revision, act.index, act.action)
 
     def _must_know(self, revision: int, box: int, phase: str) -> None:
         """A relay that has not asked for so long counts as told: it may not shut its ears."""
         if self.mode not in ("down", "cut") and self.phases[box] == phase:
             for relay, heard in self.heard.items():
                 if heard < revision:
-                    self.book.write(Told(self.now(), relay, box, phase, revision))
+                    self.book.write(ListDelivery(self.now(), relay, box, phase, revision))
 
     def asked(self, link: DiscoveryLink, query: dict[str, list[str]]) -> None:
         if self.mode == "down":
@@ -170,7 +176,7 @@
         cut = self.mode == "cut"
         if not cut:
             for box in boxes:
-                self.book.write(Told(self.now(), link.relay, box, self.phases[box], self.revision))
+                self.book.write(ListDelivery(self.now(), link.relay, box, self.phases[box], self.revision))
             self.heard[link.relay] = self.revision
         link.say("200 OK", body, cut)
         if self.mode == "repeat" and not cut:
@@ -181,10 +187,10 @@
         plan = self.plan.boxes[box]
         shift = self.shifts.get(box, 0)
         # One that came back elsewhere is reached straight.
-        way = relay in self.plan.on_ways and not shift
+        way = relay in self.plan.proxied_relays and not shift
         return {
             "id": plan.name,
-            "host_port": f"{(box_way_address if way else box_address)(box, relay)}:{self.port + shift}",
+            "host_port": f"{(box_proxy_address if way else box_address)(box, relay)}:{self.port + shift}",
             "locality": plan.zone,
             "flavor": plan.kind,
             "cell": plan.cell,
@@ -193,11 +199,11 @@
             "up_since_ms": self.started.get(box, 0),
         }
 
-    def known(self, relay: int) -> dict[str, Any]:
+    def initial_list(self, relay: int) -> dict[str, Any]:
         """The list as the rig hands it to a relay at its start, which counts as told like any."""
         self.heard[relay] = self.revision
         for box in {box for _, box in self.history if self.phases[box] != "removed"}:
-            self.book.write(Told(self.now(), relay, box, self.phases[box], self.revision))
+            self.book.write(ListDelivery(self.now(), relay, box, self.phases[box], self.revision))
         return {
             "revision": self.revision,
             "complete": True,
--- a/cedarledge/standins/books.py
+++ b/cedarledge/standins/event_log.py
@@ -14,7 +14,7 @@
 import msgspec
 
 
-class Setup(msgspec.Struct, tag=True, array_like=True):
+class BoxAttempt(msgspec.Struct, tag="Setup", array_like=True):
     """One setup as its box saw it, from the first byte of its line to the end of its connection."""
 
     box: int
@@ -31,7 +31,7 @@
     held: int = 0  # lines that were on their way for over a second
 
 
-class Call(msgspec.Struct, tag=True, array_like=True):
+class ClientRequest(msgspec.Struct, tag="Call", array_like=True):
     """One tunnel as its client saw it."""
 
     tun: str
@@ -49,7 +49,7 @@
     held: int = 0
 
 
-class Told(msgspec.Struct, tag=True, array_like=True):
+class ListDelivery(msgspec.Struct, tag="Told", array_like=True):
     """Discovery has written to a relay what became of a box."""
 
     at: int
@@ -59,7 +59,7 @@
     revision: int
 
 
-class Fell(msgspec.Struct, tag=True, array_like=True):
+class ColdOverload(msgspec.Struct, tag="Fell", array_like=True):
     """A cold box was pushed over."""
 
     at: int
@@ -67,7 +67,7 @@
     asked: float
 
 
-class Alien(msgspec.Struct, tag=True, array_like=True):
+class UnexpectedLine(msgspec.Struct, tag="Alien", array_like=True):
     """A box was sent what no usual client said."""
 
     at: int
@@ -76,7 +76,7 @@
     line: str
 
 
-class Rude(msgspec.Struct, tag=True, array_like=True):
+class MisbehavingClient(msgspec.Struct, tag="Rude", array_like=True):
     """One bad client: what it did, and how long until it had its error or its end; below 0: never."""
 
     at: int
@@ -86,7 +86,7 @@
     word: str
 
 
-class Second(msgspec.Struct, tag=True, array_like=True):
+class ServedSecond(msgspec.Struct, tag="Second", array_like=True):
     """One second of one profile's clients in one process: client seconds wanted, and served within the
     goal."""
 
@@ -96,7 +96,7 @@
     served: float
 
 
-class BoxSecond(msgspec.Struct, tag=True, array_like=True):
+class BoxLoad(msgspec.Struct, tag="BoxSecond", array_like=True):
     """One second of one box."""
 
     second: int
@@ -105,7 +105,7 @@
     held: int
 
 
-class Life(msgspec.Struct, tag=True, array_like=True):
+class RelayLifetime(msgspec.Struct, tag="Life", array_like=True):
     """One process of a relay, from its start to its end."""
 
     relay: int
@@ -118,7 +118,7 @@
     peak_kb: int
 
 
-class Carried(msgspec.Struct, tag=True, array_like=True):
+class PeerTraffic(msgspec.Struct, tag="Carried", array_like=True):
     """What one relay sent to the others, all told."""
 
     relay: int
@@ -126,7 +126,7 @@
     datagrams: int
 
 
-class Seen(msgspec.Struct, tag=True, array_like=True):
+class MembershipView(msgspec.Struct, tag="Seen", array_like=True):
     """Whom a relay held there to be, by its own word: `self`, or a member's state."""
 
     at: int
@@ -134,7 +134,7 @@
     view: dict[int, str]
 
 
-class Late(msgspec.Struct, tag=True, array_like=True):
+class TimerLateness(msgspec.Struct, tag="Late", array_like=True):
     """How late a stand-in process itself ran at the worst: past a bound the run counts for nothing."""
 
     who: str
@@ -142,13 +142,26 @@
     at: int
 
 
-Record = Setup | Call | Told | Fell | Alien | Rude | Second | BoxSecond | Life | Carried | Seen | Late
+Record = (
+    BoxAttempt
+    | ClientRequest
+    | ListDelivery
+    | ColdOverload
+    | UnexpectedLine
+    | MisbehavingClient
+    | ServedSecond
+    | BoxLoad
+    | RelayLifetime
+    | PeerTraffic
+    | MembershipView
+    | TimerLateness
+)
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Record)
 _LENGTH = struct.Struct("<I")
 
 
-class Book:
+class EventLog:
     """Writes one process's records."""
 
     def __init__(self, path: str | Path) -> None:
@@ -166,7 +179,7 @@
         self._file.close()
 
 
-def read_book(path: str | Path) -> Iterator[Record]:
+def read_event_log(path: str | Path) -> Iterator[Record]:
     """The records of a book; one that was cut off at its end is read up to there."""
     data = memoryview(Path(path).read_bytes())
     at = 0
@@ -179,5 +192,5 @@
         at += length
 
 
-def read_books(paths: Iterable[str | Path]) -> list[Record]:
-    return [record for path in paths for record in read_book(path)]
+def read_event_logs(paths: Iterable[str | Path]) -> list[Record]:
+    return [record for path in paths for record in read_event_log(path)]
--- a/cedarledge/standins/judge.py
+++ b/cedarledge/standins/judge.py
@@ -13,20 +13,20 @@
 
 import msgspec
 
-from cedarledge.standins.acquaintance import peers_figures, still
-from cedarledge.standins.books import (
-    Alien,
-    BoxSecond,
-    Call,
-    Fell,
-    Late,
-    Life,
+from cedarledge.standins.event_log import (
+    BoxAttempt,
+    BoxLoad,
+    ClientRequest,
+    ColdOverload,
+    ListDelivery,
+    MisbehavingClient,
     Record,
-    Rude,
-    Second,
-    Setup,
-    Told,
+    RelayLifetime,
+    ServedSecond,
+    TimerLateness,
+    UnexpectedLine,
 )
+from cedarledge.standins.membership_audit import pause_spans, peers_figures
 from cedarledge.standins.plan import LIST, Plan
 from cedarledge.terms import MS, SECOND
 
@@ -118,10 +118,10 @@
     by_second: list[BySecond]
 
     @property
-    def holds(self) -> bool:
+    def passed(self) -> bool:
         return not self.findings
 
-    def flat(self) -> dict[str, Any]:
+    def to_flat_dict(self) -> dict[str, Any]:
         """As `--json` gives it: the rules' counts beside the figures."""
         told = msgspec.to_builtins(self)
         counts = told.pop("counts")
@@ -158,33 +158,33 @@
             self.kinds[type(record)].append(record)
         self.findings: list[Finding] = []
         self.down: dict[int, list[int]] = defaultdict(list)
-        for life in self.kinds[Life]:
+        for life in self.kinds[RelayLifetime]:
             # A planned stop costs nobody anything, so it excuses nothing.
             if life.how in ("killed", "crashed"):
                 self.down[life.relay].append(life.ended)
         self.cuts: dict[tuple[int, int], list[int]] = defaultdict(list)  # when a relay was cut off from a box
         self.partitions: dict[tuple[int, int], list[tuple[int, int]]] = defaultdict(list)  # from, to
-        for act in plan.acts:
-            if act.who == "box" and act.what == "cut" and act.size:
-                self.cuts[act.relay, act.which].append(act.at)
-            elif act.who == "box" and act.what == "cut" and self.cuts[act.relay, act.which]:
-                self.partitions[act.relay, act.which].append((self.cuts[act.relay, act.which][-1], act.at))
-        self.still = still(plan)
+        for act in plan.events:
+            if act.target == "box" and act.action == "cut" and act.size:
+                self.cuts[act.relay, act.index].append(act.at)
+            elif act.target == "box" and act.action == "cut" and self.cuts[act.relay, act.index]:
+                self.partitions[act.relay, act.index].append((self.cuts[act.relay, act.index][-1], act.at))
+        self.pause_spans = pause_spans(plan)
         # When a relay's way to a box, or to discovery (-1), was not whole.
         self.ways: dict[tuple[int, int], list[tuple[int, int]]] = defaultdict(list)
         since: dict[tuple[int, int, str], int] = {}
-        for act in plan.acts:
-            if act.who == "way" and act.size:
-                since[act.relay, act.which, act.what] = act.at
-            elif act.who == "way":
-                began = since.pop((act.relay, act.which, act.what), 0)
-                self.ways[act.relay, act.which].append((began, act.at))
-        self.setups: dict[str, list[Setup]] = defaultdict(list)
-        for setup in sorted(self.kinds[Setup], key=lambda setup: (setup.whole, setup.box)):
+        for act in plan.events:
+            if act.target == "way" and act.size:
+                since[act.relay, act.index, act.action] = act.at
+            elif act.target == "way":
+                began = since.pop((act.relay, act.index, act.action), 0)
+                self.ways[act.relay, act.index].append((began, act.at))
+        self.setups: dict[str, list[BoxAttempt]] = defaultdict(list)
+        for setup in sorted(self.kinds[BoxAttempt], key=lambda setup: (setup.whole, setup.box)):
             self.setups[setup.tun].append(setup)
 
     def verdict(self) -> Verdict:
-        plan, calls = self.plan, self.kinds[Call]
+        plan, calls = self.plan, self.kinds[ClientRequest]
         self._answers(calls)
         self._setups(calls)
         self._drains()
@@ -200,8 +200,8 @@
                 answers[names.get(call.word, "closed_with_error")] += 1
         opened = [call for call in calls if call.word == "UP"]
         placed = sorted((call.answered - call.began) / MS for call in opened)
-        late = max(self.kinds[Late], key=lambda entry: entry.worst, default=Late("", 0, 0))
-        lives = self.kinds[Life]
+        late = max(self.kinds[TimerLateness], key=lambda entry: entry.worst, default=TimerLateness("", 0, 0))
+        lives = self.kinds[RelayLifetime]
         seconds, shares, whole, credit = self._service()
         counts = dict.fromkeys(RULES, 0)
         for finding in self.findings:
@@ -227,7 +227,7 @@
             sum(self._idle_since(relay, calls) >= 0 for relay in range(plan.relays)),
             sum(life.cpu_ns for life in lives) / SECOND,
             max((life.peak_kb for life in lives), default=0) / 1024,
-            peers_figures(plan, self.kinds) if plan.peers else {},
+            peers_figures(plan, self.kinds) if plan.peers_enabled else {},
             late.worst > TOO_LATE,
             late.worst / MS,
             seconds,
@@ -246,7 +246,8 @@
         """Whether the schedule had stopped its process in that span: what waited meanwhile is not its
         fault."""
         return any(
-            since <= end + KILL_SLACK and begin - KILL_SLACK <= until for since, until in self.still[relay]
+            since <= end + KILL_SLACK and begin - KILL_SLACK <= until
+            for since, until in self.pause_spans[relay]
         )
 
     def _way_broken(self, relay: int, box: int, begin: int, end: int) -> bool:
@@ -255,7 +256,7 @@
 
     # -- no tunnel is lost -------------------------------------------------------------------------
 
-    def _answers(self, calls: list[Call]) -> None:
+    def _answers(self, calls: list[ClientRequest]) -> None:
         end = int(self.plan.seconds * SECOND)
         for call in calls:
             due = call.began + call.wait + GRACE
@@ -287,7 +288,7 @@
             elif call.word in ("", "GAVE_UP") and call.how in ("left", "gave up"):
                 self._left(call)
 
-    def _left(self, call: Call) -> None:
+    def _left(self, call: ClientRequest) -> None:
         """It has left while it waited: nobody is there for what goes out now."""
         for setup in self.setups[call.tun]:
             late = setup.began - call.ended - self._far(setup.relay, setup.box)
@@ -298,7 +299,7 @@
             ):
                 self._found("sent_on_after_leaving", setup.began, f"{call.tun}: {late // MS} ms after")
 
-    def _open_one(self, call: Call) -> None:
+    def _open_one(self, call: ClientRequest) -> None:
         mine = [
             setup
             for setup in self.setups[call.tun]
@@ -327,7 +328,7 @@
 
     # -- no effect twice ---------------------------------------------------------------------------
 
-    def _setups(self, calls: list[Call]) -> None:
+    def _setups(self, calls: list[ClientRequest]) -> None:
         profiles = self.plan.profiles
         by_tun = {call.tun: call for call in calls}
         for tun, setups in self.setups.items():
@@ -355,7 +356,7 @@
             if call.word == "BUSY" and ran and not harmless:
                 self._found("declined_after_run", call.answered, f"{tun} ({row.effect}): box {ran[0].box}")
 
-    def _was_read_late(self, one: Setup, two: Setup) -> bool:
+    def _was_read_late(self, one: BoxAttempt, two: BoxAttempt) -> bool:
         """Whether the second may have been over before the first was sent: its way held it up, and its end
         came no later than that way, or a partition, may have held up an end from before the first."""
         if two.ended < 0:
@@ -369,7 +370,7 @@
             self._way_broken(two.relay, two.box, one.began, two.whole) and two.ended <= one.began + WAY_SLACK
         )
 
-    def _may_follow(self, row: Any, first: Setup, later: Setup) -> bool:
+    def _may_follow(self, row: Any, first: BoxAttempt, later: BoxAttempt) -> bool:
         if row.effect == "pure":
             return True
         if row.effect != "token" or later.whole > first.whole + row.window + GRACE:
@@ -381,7 +382,7 @@
 
     def _drains(self) -> None:
         told: dict[tuple[int, int], list[tuple[int, str, int]]] = defaultdict(list)
-        for entry in sorted(self.kinds[Told], key=lambda entry: entry.at):
+        for entry in sorted(self.kinds[ListDelivery], key=lambda entry: entry.at):
             heard = self._heard(entry.relay, entry.at) + self.plan.drain_grace + GRACE
             heard += self._far(entry.relay, entry.box)
             told[entry.relay, entry.box].append((entry.at, entry.phase, heard))
@@ -410,7 +411,7 @@
 
     def _far(self, relay: int, box: int) -> int:
         zones = self.plan.zones
-        return zones.one_way(zones.of_relay(relay), self.plan.boxes[box].zone)
+        return zones.one_way_delay(zones.zone_of_relay(relay), self.plan.boxes[box].zone)
 
     def _heard(self, relay: int, at: int) -> int:
         """When a relay has heard what was written to it then; on a broken way, once that is whole and it
@@ -421,11 +422,11 @@
     # -- the rest ----------------------------------------------------------------------------------
 
     def _others(self) -> None:
-        for fell in self.kinds[Fell]:
+        for fell in self.kinds[ColdOverload]:
             self._found("cold_pushed_over", fell.at, f"box {fell.box} at {fell.asked:.1f} of its strength")
-        for alien in self.kinds[Alien]:
+        for alien in self.kinds[UnexpectedLine]:
             self._found("bad_clients_served", alien.at, f"box {alien.box} was sent {alien.line!r}")
-        for rude in self.kinds[Rude]:
+        for rude in self.kinds[MisbehavingClient]:
             ends = rude.at + TURNED_OUT + GRACE
             if not 0 <= rude.took <= TURNED_OUT + GRACE and ends < self.plan.seconds * SECOND:
                 self._found(
@@ -433,11 +434,11 @@
                 )
             if rude.word.startswith("UP"):
                 self._found("bad_clients_served", rude.at, f"{rude.kind} at relay {rude.relay}: {rude.word}")
-        for life in self.kinds[Life]:
+        for life in self.kinds[RelayLifetime]:
             if life.how == "crashed":
                 self._found("crashed", life.ended, f"relay {life.relay}: exit code {life.code}")
 
-    def _idle_since(self, relay: int, calls: list[Call]) -> int:
+    def _idle_since(self, relay: int, calls: list[ClientRequest]) -> int:
         """When the relay began to turn away all that it gets for long enough; below 0: never."""
         attempts = (setup for setups in self.setups.values() for setup in setups if setup.relay == relay)
         events = [(attempt.whole, False) for attempt in attempts]
@@ -453,7 +454,7 @@
 
     def _service(self) -> tuple[dict[str, list[tuple[int, float, float]]], dict[str, float], float, float]:
         sums: dict[tuple[int, int], list[float]] = defaultdict(lambda: [0.0, 0.0])
-        for entry in self.kinds[Second]:
+        for entry in self.kinds[ServedSecond]:
             place = sums[entry.profile, entry.second]
             place[0] += entry.wanted
             place[1] += entry.served
@@ -463,7 +464,7 @@
         for index, row in enumerate(self.plan.profiles):
             line = sorted((second, *both) for (profile, second), both in sums.items() if profile == index)
             seconds[row.name] = line
-            judged = [entry for entry in line if entry[0] >= self.plan.judged_from]
+            judged = [entry for entry in line if entry[0] >= self.plan.measured_from]
             wanted, served = (sum(entry[place] for entry in judged) for place in (1, 2))
             shares[row.name] = served / wanted if wanted else 0.0
             for place, amount in enumerate((wanted, served, wanted * row.credit, served * row.credit)):
@@ -475,7 +476,7 @@
             totals[3] / totals[2] if totals[2] else 0.0,
         )
 
-    def _by_second(self, calls: list[Call]) -> list[BySecond]:
+    def _by_second(self, calls: list[ClientRequest]) -> list[BySecond]:
         words: dict[int, list[str]] = defaultdict(list)
         took: dict[int, list[float]] = defaultdict(list)
         reached: dict[int, int] = defaultdict(int)
@@ -506,6 +507,6 @@
 
     def _loads(self) -> dict[str, list[tuple[int, float, int]]]:
         loads: dict[str, list[tuple[int, float, int]]] = defaultdict(list)
-        for entry in self.kinds[BoxSecond]:
+        for entry in self.kinds[BoxLoad]:
             loads[self.plan.boxes[entry.box].name].append((entry.second, round(entry.asked, 4), entry.held))
         return {name: sorted(loads[name]) for name in sorted(loads)}
--- a/cedarledge/standins/acquaintance.py
+++ b/cedarledge/standins/membership_audit.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from cedarledge.standins.books import Carried, Life, Seen
+from cedarledge.standins.event_log import MembershipView, PeerTraffic, RelayLifetime
 from cedarledge.standins.plan import Plan
 from cedarledge.terms import SECOND
 
@@ -17,15 +17,15 @@
 Spans = Mapping[int, list[tuple[int, int]]]
 
 
-def still(plan: Plan) -> Spans:
+def pause_spans(plan: Plan) -> Spans:
     """When the schedule had each relay's process stopped."""
     spans: dict[int, list[tuple[int, int]]] = defaultdict(list)
     since: dict[int, int] = {}
-    for act in plan.acts:
-        if act.who == "relay" and act.what == "pause":
-            since.setdefault(act.which, act.at)
-        elif act.who == "relay" and act.what == "resume" and act.which in since:
-            spans[act.which].append((since.pop(act.which), act.at))
+    for act in plan.events:
+        if act.target == "relay" and act.action == "pause":
+            since.setdefault(act.index, act.at)
+        elif act.target == "relay" and act.action == "resume" and act.index in since:
+            spans[act.index].append((since.pop(act.index), act.at))
     for relay, at in since.items():
         spans[relay].append((at, int(plan.seconds * SECOND)))
     return spans
@@ -42,8 +42,8 @@
     `agree_s`: from the last fault's end to the time from which on nobody missed a live one.
     `bytes_per_s`: sent by one relay."""
     end = int(plan.seconds * SECOND)
-    lives: list[Life] = kinds[Life]
-    pauses = still(plan)
+    lives: list[RelayLifetime] = kinds[RelayLifetime]
+    pauses = pause_spans(plan)
 
     def up(relay: int, at: int) -> bool:
         """Its process ran, and had for a while."""
@@ -56,10 +56,10 @@
         """It ran at no time from then to there."""
         return not any(life.relay == relay and life.began <= at and life.ended >= since for life in lives)
 
-    looks: dict[int, list[Seen]] = defaultdict(list)
-    for seen in sorted(kinds[Seen], key=lambda seen: seen.at):
+    looks: dict[int, list[MembershipView]] = defaultdict(list)
+    for seen in sorted(kinds[MembershipView], key=lambda seen: seen.at):
         looks[seen.relay].append(seen)
-    acts = [act.at for act in plan.acts if act.who in ("relay", "lane") and act.at < end]
+    acts = [act.at for act in plan.events if act.target in ("relay", "lane") and act.at < end]
     acts += [life.ended for life in lives if life.how == "crashed" and life.ended < end]
     last_fault = max(acts, default=0)
     last = {
@@ -88,16 +88,16 @@
         "missed_dead": missed,
         "detect_s": _detection(lives, pauses, looks, up),
         "agree_s": _agreement(looks, last_fault, up),
-        "bytes_per_s": _sent(kinds[Carried], lives),
+        "bytes_per_s": _sent(kinds[PeerTraffic], lives),
     }
 
 
-def _there(seen: Seen) -> list[int]:
+def _there(seen: MembershipView) -> list[int]:
     return [relay for relay, state in seen.view.items() if state in ("alive", "self", "suspect")]
 
 
 def _detection(
-    lives: list[Life], pauses: Spans, looks: Mapping[int, list[Seen]], up: Any
+    lives: list[RelayLifetime], pauses: Spans, looks: Mapping[int, list[MembershipView]], up: Any
 ) -> dict[str, float | None]:
     began = [(life.relay, life.ended) for life in lives if life.how == "killed"]
     began += [(relay, since) for relay, spans in pauses.items() for since, _ in spans]
@@ -116,7 +116,7 @@
     return {"p50": _p50(spans), "max": max(spans, default=None)}
 
 
-def _agreement(looks: Mapping[int, list[Seen]], since: int, up: Any) -> float | None:
+def _agreement(looks: Mapping[int, list[MembershipView]], since: int, up: Any) -> float | None:
     """None: never."""
     agreed = since
     for row in looks.values():
@@ -135,6 +135,6 @@
     return (agreed - since) / SECOND
 
 
-def _sent(carried: list[Carried], lives: list[Life]) -> float | None:
+def _sent(carried: list[PeerTraffic], lives: list[RelayLifetime]) -> float | None:
     ran = sum(life.ended - max(0, life.began) for life in lives) / SECOND
     return round(sum(one.size for one in carried) / ran, 1) if ran and carried else None
--- a/cedarledge/standins/plan.py
+++ b/cedarledge/standins/plan.py
@@ -15,7 +15,7 @@
 LIST = -1  # in a box's place: discovery
 RELAY_NET, DISCOVERY_NET, PEER_NET, PEER_LANE_NET, DISCOVERY_WAY_NET = 8, 9, 10, 11, 13
 BOX_NET, WAY_NET = 20, 100
-MOST_RELAYS, MOST_BOXES = 2000, 2000
+MAX_RELAYS, MAX_BOXES = 2000, 2000
 HOSTS_PER_NET = 1 << 16
 # A box that comes back elsewhere under its old id listens this many ports further on.
 OTHER_PORT = 1
@@ -52,100 +52,145 @@
     at_start: bool  # part of the list from the beginning
 
 
-class BoxTerms(msgspec.Struct, frozen=True):
+class BoxSettings(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "message_time": "message",
+        "setup_time": "setup",
+        "max_backlog": "queue",
+        "report_interval": "refresh",
+        "report_delay": "behind",
+        "warmup_duration": "warm_within",
+        "overload_multiple": "fall_multiple",
+        "overload_duration": "fall_span",
+        "restart_delay": "fallen_for",
+    },
+):
     """How every box works; times in ns."""
 
-    message: int  # a message's time on an idle core of speed 1.0
-    setup: int  # work of a new connection, on one core of speed 1.0
+    message_time: int  # a message's time on an idle core of speed 1.0
+    setup_time: int  # work of a new connection, on one core of speed 1.0
     round_trip: int  # what a setup takes beside that work
-    queue: int  # of work, past which a new connection is turned away
-    refresh: int  # how often the report is made anew
-    behind: int  # how late a report is
+    max_backlog: int  # of work, past which a new connection is turned away
+    report_interval: int  # how often the report is made anew
+    report_delay: int  # how late a report is
     cold_from: float
-    warm_within: int
-    fall_multiple: float
-    fall_span: int
-    fallen_for: int
+    warmup_duration: int
+    overload_multiple: float
+    overload_duration: int
+    restart_delay: int
     move_after: int  # a draining box sends its clients away from then on
 
 
-class Act(msgspec.Struct, frozen=True):
+class ScheduledEvent(
+    msgspec.Struct, frozen=True, rename={"target": "who", "action": "what", "index": "which"}
+):
     """One thing that the schedule has happen. Who plays it follows from `who`."""
 
     at: int
-    who: str  # box, list, relay, clients, lane, way
-    what: str
-    which: int = -1
+    target: str  # box, list, relay, clients, lane, way
+    action: str
+    index: int = -1
     size: float = 0.0
     relay: int = -1
 
 
-class ZoneTerms(msgspec.Struct, frozen=True):
+class ZoneLayout(
+    msgspec.Struct, frozen=True, rename={"zone_delay": "between_zones", "region_delay": "between_regions"}
+):
     """How far zones are from each other; one way, in ns. Relays and boxes are in one each, clients may be."""
 
     names: tuple[str, ...]
     regions: int = 1
-    between_zones: int = 0  # of one region
-    between_regions: int = 0
+    zone_delay: int = 0  # of one region
+    region_delay: int = 0
     home: bool = False  # clients have a zone, and are dealt to its relays while any is there
 
-    def of_relay(self, relay: int) -> str:
+    def zone_of_relay(self, relay: int) -> str:
         return self.names[relay % len(self.names)]
 
-    def region(self, zone: str) -> int:
+    def region_of_zone(self, zone: str) -> int:
         return self.names.index(zone) * self.regions // len(self.names)
 
-    def one_way(self, one: str, other: str) -> int:
-        if one == other or not (self.between_zones or self.between_regions):
+    def one_way_delay(self, one: str, other: str) -> int:
+        if one == other or not (self.zone_delay or self.region_delay):
             return 0
-        return self.between_zones if self.region(one) == self.region(other) else self.between_regions
-
-
-class ClientTerms(msgspec.Struct, frozen=True):
+        return (
+            self.zone_delay if self.region_of_zone(one) == self.region_of_zone(other) else self.region_delay
+        )
+
+
+class ClientSettings(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "arrival_rate": "rate",
+        "initial_clients": "standing",
+        "ramp_up": "ramp",
+        "mean_lifetime": "life",
+        "message_interval": "line_every",
+        "max_retries": "retries",
+        "return_delay": "come_back",
+        "key_count": "keys",
+        "health_check_interval": "front_every",
+        "health_check_timeout": "front_after",
+    },
+):
     """How every client behaves; times in ns."""
 
-    rate: float  # newcomers a second, all processes together
-    standing: int  # come within `ramp` at the start
-    ramp: int
-    life: int  # mean
-    line_every: int
-    retries: int
+    arrival_rate: float  # newcomers a second, all processes together
+    initial_clients: int  # come within `ramp` at the start
+    ramp_up: int
+    mean_lifetime: int  # mean
+    message_interval: int
+    max_retries: int
     backoff: int
-    come_back: int  # after the last retry
-    keys: int
-    front_every: int  # how often the front asks a relay for its PONG
-    front_after: int  # how long a relay must be silent to be taken out
-
-
-class Plan(msgspec.Struct, frozen=True):
+    return_delay: int  # after the last retry
+    key_count: int
+    health_check_interval: int  # how often the front asks a relay for its PONG
+    health_check_timeout: int  # how long a relay must be silent to be taken out
+
+
+class Plan(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "measured_from": "judged_from",
+        "box_settings": "box_terms",
+        "client_settings": "client_terms",
+        "events": "acts",
+        "proxied_relays": "on_ways",
+    },
+):
     """One run, whole. Equal scenario, sizes and seed give an equal plan."""
 
     scenario: str
     seed: int
     seconds: float
-    judged_from: float  # service counts from here on; the rules count throughout
+    measured_from: float  # service counts from here on; the rules count throughout
     relays: int
     boxes: tuple[BoxPlan, ...]
     profiles: tuple[ProfilePlan, ...]
-    box_terms: BoxTerms
-    client_terms: ClientTerms
-    acts: tuple[Act, ...]
+    box_settings: BoxSettings
+    client_settings: ClientSettings
+    events: tuple[ScheduledEvent, ...]
     faults: tuple[tuple[str, float, float], ...]  # name, from, to in seconds: for the report alone
     drain_grace: int
     sockets: int
     memory_mb: int
     settings: dict[str, Any]
-    zones: ZoneTerms
+    zones: ZoneLayout
     operator: dict[str, Any] = {}  # the relays' operator file, whole; empty: they have none
 
-    on_ways: tuple[int, ...] = ()  # relays whose connections pass the ways, as a fault is about those
+    proxied_relays: tuple[int, ...] = ()  # relays whose connections pass the ways, as a fault is about those
 
     @property
-    def peers(self) -> bool:
+    def peers_enabled(self) -> bool:
         return bool(self.operator) and self.operator["peers"]["on"]
 
 
-class Post(msgspec.Struct, frozen=True):
+class ProcessSpec(msgspec.Struct, frozen=True, rename={"event_log": "book"}):
     """What one process of the run is told: the plan, its part of it, and when and where."""
 
     plan: Plan
@@ -155,7 +200,7 @@
     port: int
     begin: int  # monotonic ns of the run's start
     begin_unix_ms: int
-    book: str  # path of its book
+    event_log: str  # path of its book
 
 
 def _loopback(net: int, number: int) -> str:
@@ -165,7 +210,7 @@
 
 
 def box_address(box: int, relay: int) -> str:
-    return _loopback(BOX_NET, relay * MOST_BOXES + box)
+    return _loopback(BOX_NET, relay * MAX_BOXES + box)
 
 
 def relay_address(relay: int) -> str:
@@ -177,20 +222,20 @@
     return _loopback(PEER_NET, relay + 1)
 
 
-def peer_lane_address(relay: int) -> str:
+def peer_proxy_address(relay: int) -> str:
     return _loopback(PEER_LANE_NET, relay + 1)
 
 
-def box_way_address(box: int, relay: int) -> str:
+def box_proxy_address(box: int, relay: int) -> str:
     """Where a relay on the ways is told that the box is."""
-    return _loopback(WAY_NET, relay * MOST_BOXES + box)
+    return _loopback(WAY_NET, relay * MAX_BOXES + box)
 
 
-def discovery_way_address(relay: int) -> str:
+def discovery_proxy_address(relay: int) -> str:
     return _loopback(DISCOVERY_WAY_NET, relay + 1)
 
 
-def asker_address() -> str:
+def membership_sampler_address() -> str:
     return "127.12.0.1"
 
 
--- a/cedarledge/standins/stage.py
+++ b/cedarledge/standins/process_context.py
@@ -6,11 +6,11 @@
 from typing import Any, NamedTuple
 
 from cedarledge.net.timers import Timers
-from cedarledge.standins.books import Book
+from cedarledge.standins.event_log import EventLog
 from cedarledge.standins.plan import Plan
 
 
-class Stage(NamedTuple):
+class ProcessContext(NamedTuple):
     """The reactor, the clock in ns after the run's start, and what is played."""
 
     reactor: Any
@@ -18,13 +18,13 @@
     now: Callable[[], int]
     plan: Plan
     port: int  # that everything listens on, each at an address of its own
-    book: Book
+    book: EventLog
 
 
 class Player:
     """One that plays a part, with what it draws on at hand."""
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: ProcessContext) -> None:
         self.stage = stage
         self.reactor = stage.reactor
         self.timers = stage.timers
--- a/cedarledge/standins/ways.py
+++ b/cedarledge/standins/tcp_proxy.py
@@ -20,13 +20,13 @@
 
 from cedarledge.standins.plan import (
     LIST,
-    Act,
+    ScheduledEvent,
     box_address,
-    box_way_address,
+    box_proxy_address,
     discovery_address,
-    discovery_way_address,
+    discovery_proxy_address,
 )
-from cedarledge.standins.stage import Player, Stage
+from cedarledge.standins.process_context import Player, ProcessContext
 from cedarledge.terms import MS, SECOND
 
 OUT, BACK = "out", "back"
@@ -205,39 +205,41 @@
 class Ways(Player):
     """All ways that a fault is about, and the schedule's acts on them."""
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: ProcessContext) -> None:
         super().__init__(stage)
         self.chance = random.Random(self.plan.seed * 103 + 9)
         self.flows: list[Flow] = []
         boxes = [*range(len(self.plan.boxes)), LIST]
         self.ways = {
             (relay, box, to): Way(far=self._far(relay, box))
-            for relay in self.plan.on_ways
+            for relay in self.plan.proxied_relays
             for box in boxes
             for to in (OUT, BACK)
         }
 
     def _far(self, relay: int, box: int) -> int:
         zones = self.plan.zones
-        return 0 if box == LIST else zones.one_way(zones.of_relay(relay), self.plan.boxes[box].zone)
+        return (
+            0 if box == LIST else zones.one_way_delay(zones.zone_of_relay(relay), self.plan.boxes[box].zone)
+        )
 
     def open(self) -> None:
-        for relay in self.plan.on_ways:
-            self._gate(relay, LIST, discovery_way_address(relay), discovery_address(relay))
+        for relay in self.plan.proxied_relays:
+            self._gate(relay, LIST, discovery_proxy_address(relay), discovery_address(relay))
             for box in range(len(self.plan.boxes)):
-                self._gate(relay, box, box_way_address(box, relay), box_address(box, relay))
+                self._gate(relay, box, box_proxy_address(box, relay), box_address(box, relay))
 
     def _gate(self, relay: int, box: int, here: str, there: str) -> None:
         self.reactor.listenTCP(self.port, Gate(self, relay, box, (there, self.port)), interface=here)
 
     def begin(self) -> None:
-        for act in self.plan.acts:
-            if act.who == "way":
+        for act in self.plan.events:
+            if act.target == "way":
                 self.timers.after(act.at - self.now(), self._played, act)
 
-    def _played(self, act: Act) -> None:
-        to, _, what = act.what.partition(".")
-        way = self.ways[act.relay, act.which, to]
+    def _played(self, act: ScheduledEvent) -> None:
+        to, _, what = act.action.partition(".")
+        way = self.ways[act.relay, act.index, to]
         if what == "delay":
             way.jitter = int(act.size) // 2
         # The field says what it is: a flag, a share, or ns or bytes.
--- a/cedarledge/standins/lanes.py
+++ b/cedarledge/standins/udp_proxy.py
@@ -13,10 +13,10 @@
 import msgspec
 from twisted.internet.protocol import DatagramProtocol
 
-from cedarledge.standins.books import Carried
-from cedarledge.standins.plan import Act, peer_address, peer_lane_address
-from cedarledge.standins.stage import Player, Stage
-from cedarledge.standins.ways import Ways
+from cedarledge.standins.event_log import PeerTraffic
+from cedarledge.standins.plan import ScheduledEvent, peer_address, peer_proxy_address
+from cedarledge.standins.process_context import Player, ProcessContext
+from cedarledge.standins.tcp_proxy import Ways
 from cedarledge.terms import MS, SECOND
 
 # How far back one that is overtaken is held.
@@ -52,7 +52,7 @@
 class Lanes(Player):
     """All of them, and the schedule's acts on them."""
 
-    def __init__(self, stage: Stage, part: int, parts: int) -> None:
+    def __init__(self, stage: ProcessContext, part: int, parts: int) -> None:
         super().__init__(stage)
         assert (part, parts) == (0, 1), "one process has all ways between relays"
         relays = range(self.plan.relays)
@@ -60,7 +60,7 @@
         self.senders = {peer_address(relay): relay for relay in relays}
         zones = self.plan.zones
         self.lanes = {
-            (one, other): Way(far=zones.one_way(zones.of_relay(one), zones.of_relay(other)))
+            (one, other): Way(far=zones.one_way_delay(zones.zone_of_relay(one), zones.zone_of_relay(other)))
             for one in relays
             for other in relays
             if one != other
@@ -72,28 +72,28 @@
 
     def open(self) -> None:
         self.ways_to_others.open()
-        if not self.plan.peers:
+        if not self.plan.peers_enabled:
             return
         for door in self.doors:
             self.reactor.listenUDP(
-                self.port, door, interface=peer_lane_address(door.relay), maxPacketSize=65536
+                self.port, door, interface=peer_proxy_address(door.relay), maxPacketSize=65536
             )
 
     def begin(self) -> None:
         self.ways_to_others.begin()
-        for act in self.plan.acts:
-            if act.who == "lane":
+        for act in self.plan.events:
+            if act.target == "lane":
                 self.timers.after(act.at - self.now(), self._played, act)
 
-    def _played(self, act: Act) -> None:
-        way = self.lanes[act.which, act.relay]
-        if act.what == "cut":
+    def _played(self, act: ScheduledEvent) -> None:
+        way = self.lanes[act.index, act.relay]
+        if act.action == "cut":
             way.cut = bool(act.size)
-        elif act.what == "delay":
+        elif act.action == "delay":
             way.delay = int(act.size * SECOND)
             way.overtaken = 0.1 if act.size else 0.0
         else:
-            setattr(way, act.what, act.size)
+            setattr(way, act.action, act.size)
 
     def carry(self, door: Door, data: bytes, addr: Any) -> None:
         sender = self.senders.get(addr[0])
@@ -128,4 +128,4 @@
 
     def close(self) -> None:
         for relay, (size, count) in enumerate(zip(self.bytes, self.datagrams, strict=True)):
-            self.book.write(Carried(relay, size, count))
+            self.book.write(PeerTraffic(relay, size, count))
--- a/cedarledge/standins/worker.py
+++ b/cedarledge/standins/worker.py
@@ -11,19 +11,19 @@
 
 from cedarledge.net.reactor import install_reactor
 from cedarledge.net.timers import Timers
-from cedarledge.standins.books import Book, Late
 from cedarledge.standins.boxes import Boxes
 from cedarledge.standins.clients import Crowd
-from cedarledge.standins.lanes import Lanes
-from cedarledge.standins.plan import Post
-from cedarledge.standins.stage import Stage
+from cedarledge.standins.event_log import EventLog, TimerLateness
+from cedarledge.standins.plan import ProcessSpec
+from cedarledge.standins.process_context import ProcessContext
+from cedarledge.standins.udp_proxy import Lanes
 from cedarledge.terms import MS, SECOND
 
 # How often a process looks how late it runs itself.
 LATENESS_EVERY = 20 * MS
 
 
-class Lateness:
+class LatenessMonitor:
     """How late a process's own timers come: what it measures can be no better."""
 
     def __init__(self, timers: Timers, now: Any) -> None:
@@ -47,16 +47,16 @@
 def main() -> int:
     reactor = install_reactor()
 
-    post = msgspec.json.decode(sys.stdin.buffer.read(), type=Post)
+    post = msgspec.json.decode(sys.stdin.buffer.read(), type=ProcessSpec)
 
     def now() -> int:
         return time.monotonic_ns() - post.begin
 
     timers = Timers(reactor, now)
-    book = Book(post.book)
+    book = EventLog(post.event_log)
     kind = {"boxes": Boxes, "clients": Crowd, "lanes": Lanes}[post.role]
-    player = kind(Stage(reactor, timers, now, post.plan, post.port, book), post.part, post.parts)
-    lateness = Lateness(timers, now)
+    player = kind(ProcessContext(reactor, timers, now, post.plan, post.port, book), post.part, post.parts)
+    lateness = LatenessMonitor(timers, now)
     if not isinstance(player, Crowd):
         player.open()
 
@@ -67,7 +67,7 @@
 
     def end() -> None:
         player.close()
-        book.write(Late(f"{post.role} {post.part}", lateness.worst, lateness.at))
+        book.write(TimerLateness(f"{post.role} {post.part}", lateness.worst, lateness.at))
         book.close()
         reactor.stop()
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -11,32 +11,32 @@
 
 from cedarledge.rig.scenario import Scenario
 from cedarledge.rig.schedule import plan_of
-from cedarledge.standins.books import (
-    Alien,
-    Book,
-    BoxSecond,
-    Call,
-    Carried,
-    Fell,
-    Late,
-    Life,
+from cedarledge.standins.event_log import (
+    BoxAttempt,
+    BoxLoad,
+    ClientRequest,
+    ColdOverload,
+    EventLog,
+    ListDelivery,
+    MembershipView,
+    MisbehavingClient,
+    PeerTraffic,
     Record,
-    Rude,
-    Second,
-    Seen,
-    Setup,
-    Told,
-    read_book,
+    RelayLifetime,
+    ServedSecond,
+    TimerLateness,
+    UnexpectedLine,
+    read_event_log,
 )
 from cedarledge.standins.judge import RULES, Judge, Verdict
-from cedarledge.standins.plan import Act
+from cedarledge.standins.plan import ScheduledEvent
 from cedarledge.terms import MS, SECOND
 
 PLAN = plan_of(Scenario("Test", seconds=20.0), 1)
 LIVE, MAP, STATE, BOOKING = range(4)
 
 
-def call(word: str = "UP", **other: object) -> Call:
+def call(word: str = "UP", **other: object) -> ClientRequest:
     told = {
         "profile": LIVE,
         "began": SECOND,
@@ -45,12 +45,12 @@
         "ended": 9 * SECOND,
         "how": "left",
     } | other
-    return Call("t1", 0, told.pop("profile"), told.pop("began"), 1200 * MS, word, **told)
+    return ClientRequest("t1", 0, told.pop("profile"), told.pop("began"), 1200 * MS, word, **told)
 
 
-def setup(box: int = 0, word: str = "UP", whole: int = SECOND + MS, **other: object) -> Setup:
+def setup(box: int = 0, word: str = "UP", whole: int = SECOND + MS, **other: object) -> BoxAttempt:
     told = {"answered": whole + 15 * MS, "receipt": "r1" if word == "UP" else "", "ended": 9 * SECOND} | other
-    return Setup(box, 0, "t1", whole, whole, word, **told)
+    return BoxAttempt(box, 0, "t1", whole, whole, word, **told)
 
 
 def judged(*records: Record, **other: object) -> Verdict:
@@ -65,8 +65,8 @@
     return {found.rule for found in verdict.findings}
 
 
-def killed(at: int, how: str = "killed") -> Life:
-    return Life(0, 0, 0, at, how, -9, 0, 0)
+def killed(at: int, how: str = "killed") -> RelayLifetime:
+    return RelayLifetime(0, 0, 0, at, how, -9, 0, 0)
 
 
 def test_a_tunnel_as_it_should_be_breaks_nothing() -> None:
@@ -85,7 +85,7 @@
     "UP that no box said": ("not_what_a_box_made", [call(receipt="r2"), setup()]),
     "UP of another relay's box": (
         "not_what_a_box_made",
-        [call(), Setup(0, 1, "t1", SECOND, SECOND, "UP", SECOND, "r1")],
+        [call(), BoxAttempt(0, 1, "t1", SECOND, SECOND, "UP", SECOND, "r1")],
     ),
     "cut without MOVE": ("cut_without_move", [call(how="cut", ended=5 * SECOND), setup(ended=5 * SECOND)]),
     "reset without MOVE": (
@@ -116,12 +116,15 @@
     ),
     "a send to a draining box": (
         "late_sends_after_drain",
-        [Told(SECOND, 0, 0, "draining", 41), call(), setup(whole=SECOND + 400 * MS)],
+        [ListDelivery(SECOND, 0, 0, "draining", 41), call(), setup(whole=SECOND + 400 * MS)],
     ),
-    "a cold box pushed over": ("cold_pushed_over", [Fell(SECOND, 3, 3.5)]),
-    "what a box may not be sent": ("bad_clients_served", [Alien(SECOND, 3, 0, "OPEN x")]),
-    "a bad client that was served": ("bad_clients_served", [Rude(SECOND, 0, "half", 5 * MS, "UP r")]),
-    "a bad client that was kept": ("bad_clients_held", [Rude(SECOND, 0, "half", -1, "")]),
+    "a cold box pushed over": ("cold_pushed_over", [ColdOverload(SECOND, 3, 3.5)]),
+    "what a box may not be sent": ("bad_clients_served", [UnexpectedLine(SECOND, 3, 0, "OPEN x")]),
+    "a bad client that was served": (
+        "bad_clients_served",
+        [MisbehavingClient(SECOND, 0, "half", 5 * MS, "UP r")],
+    ),
+    "a bad client that was kept": ("bad_clients_held", [MisbehavingClient(SECOND, 0, "half", -1, "")]),
     "a relay that ended by itself": ("crashed", [killed(SECOND, "crashed")]),
 }
 
@@ -156,15 +159,19 @@
         setup(1, "ERR", ended=SECOND + 17 * MS),
         setup(whole=SECOND + 20 * MS),
     ],
-    "a send within the grace": [Told(SECOND, 0, 0, "draining", 41), call(), setup(whole=SECOND + 290 * MS)],
+    "a send within the grace": [
+        ListDelivery(SECOND, 0, 0, "draining", 41),
+        call(),
+        setup(whole=SECOND + 290 * MS),
+    ],
     "told that it is up again": [
-        Told(SECOND // 2, 0, 0, "removed", 41),
-        Told(SECOND, 0, 0, "up", 42),
+        ListDelivery(SECOND // 2, 0, 0, "removed", 41),
+        ListDelivery(SECOND, 0, 0, "up", 42),
         call(),
         setup(whole=SECOND + 400 * MS),
     ],
-    "another relay was told": [Told(SECOND // 9, 1, 0, "draining", 41), call(), setup()],
-    "a bad client turned out": [Rude(SECOND, 0, "half", 2600 * MS, "closed")],
+    "another relay was told": [ListDelivery(SECOND // 9, 1, 0, "draining", 41), call(), setup()],
+    "a bad client turned out": [MisbehavingClient(SECOND, 0, "half", 2600 * MS, "closed")],
 }
 
 
@@ -200,66 +207,69 @@
 def test_lines_are_held_by_a_partition_and_not_by_the_relay() -> None:
     held = [call(), setup(held=2)]
     assert broken(*held) == {"lines_lost"}
-    assert broken(*held, acts=(Act(2 * SECOND, "box", "cut", 0, 1.0, 0),)) == set()
-    assert broken(*held, acts=(Act(2 * SECOND, "box", "cut", 0, 1.0, 1),)) == {"lines_lost"}
+    assert broken(*held, events=(ScheduledEvent(2 * SECOND, "box", "cut", 0, 1.0, 0),)) == set()
+    assert broken(*held, events=(ScheduledEvent(2 * SECOND, "box", "cut", 0, 1.0, 1),)) == {"lines_lost"}
 
 
 def test_a_relay_that_the_schedule_stopped_is_excused_for_that_long_and_no_longer() -> None:
     late = [call("BUSY", answered=SECOND + 1300 * MS)]
-    acts = (Act(SECOND, "relay", "pause", 0), Act(2 * SECOND, "relay", "resume", 0))
-    assert broken(*late) == {"answered_late"} and broken(*late, acts=acts) == set()
-    assert broken(call("GAVE_UP", answered=-1, began=3 * SECOND), acts=acts) == {"unanswered"}
-    assert broken(call("BUSY", more=1), acts=acts) == {"answered_twice"}
-    other = (Act(SECOND, "relay", "pause", 1), Act(2 * SECOND, "relay", "resume", 1))
-    assert broken(*late, acts=other) == {"answered_late"}
+    acts = (ScheduledEvent(SECOND, "relay", "pause", 0), ScheduledEvent(2 * SECOND, "relay", "resume", 0))
+    assert broken(*late) == {"answered_late"} and broken(*late, events=acts) == set()
+    assert broken(call("GAVE_UP", answered=-1, began=3 * SECOND), events=acts) == {"unanswered"}
+    assert broken(call("BUSY", more=1), events=acts) == {"answered_twice"}
+    other = (ScheduledEvent(SECOND, "relay", "pause", 1), ScheduledEvent(2 * SECOND, "relay", "resume", 1))
+    assert broken(*late, events=other) == {"answered_late"}
 
 
 def test_a_way_that_is_held_up_excuses_what_its_box_can_not_know_and_nothing_else() -> None:
-    def way(box: int) -> tuple[Act, ...]:
+    def way(box: int) -> tuple[ScheduledEvent, ...]:
         return (
-            Act(SECOND // 2, "way", "out.cut", box, 1.0, 0),
-            Act(6 * SECOND, "way", "out.cut", box, 0.0, 0),
+            ScheduledEvent(SECOND // 2, "way", "out.cut", box, 1.0, 0),
+            ScheduledEvent(6 * SECOND, "way", "out.cut", box, 0.0, 0),
         )
 
     two = LOST["two setups at once"][1]
-    assert broken(*two, acts=way(0)) == set() and broken(*two, acts=way(1)) == {"overlapping_setups"}
+    assert broken(*two, events=way(0)) == set() and broken(*two, events=way(1)) == {"overlapping_setups"}
     # One given up before the other was sent, and read behind it for its way; and one that was not given up.
     given_up = setup(1, word="", answered=-1, whole=SECOND + 100 * MS, ended=SECOND + 300 * MS)
     read_late = [call(), setup(), given_up]
     assert broken(*read_late) == {"overlapping_setups"}
-    assert broken(*read_late, acts=way(1)) == set()
+    assert broken(*read_late, events=way(1)) == set()
     # One that a partition held back with its end, and one that was still out as the partition was over.
-    partition = (Act(SECOND // 2, "box", "cut", 1, 1.0, 0), Act(6 * SECOND, "box", "cut", 1, 0.0, 0))
+    partition = (
+        ScheduledEvent(SECOND // 2, "box", "cut", 1, 1.0, 0),
+        ScheduledEvent(6 * SECOND, "box", "cut", 1, 0.0, 0),
+    )
     held_back = setup(1, word="", answered=-1, whole=6 * SECOND + MS, ended=6 * SECOND + 2 * MS)
     assert broken(call(), setup(), held_back) == {"overlapping_setups"}
-    assert broken(call(), setup(), held_back, acts=partition) == set()
+    assert broken(call(), setup(), held_back, events=partition) == set()
     still_out = setup(1, word="", answered=-1, whole=6 * SECOND + MS, ended=6 * SECOND + 200 * MS)
-    assert broken(call(), setup(), still_out, acts=partition) == {"overlapping_setups"}
-    assert broken(call(held=1), setup(), acts=way(0)) == set()
-    assert broken(call(held=1), setup(), acts=way(1)) == {"lines_lost"}
-    assert broken(call(), setup(gaps=1), acts=way(0)) == {"lines_lost"}
-    assert broken(*LOST["once-only run twice"][1], acts=way(0)) == {"ran_twice"}
-    assert broken(call("CLOSED"), acts=way(0)) == {"unanswered"}
+    assert broken(call(), setup(), still_out, events=partition) == {"overlapping_setups"}
+    assert broken(call(held=1), setup(), events=way(0)) == set()
+    assert broken(call(held=1), setup(), events=way(1)) == {"lines_lost"}
+    assert broken(call(), setup(gaps=1), events=way(0)) == {"lines_lost"}
+    assert broken(*LOST["once-only run twice"][1], events=way(0)) == {"ran_twice"}
+    assert broken(call("CLOSED"), events=way(0)) == {"unanswered"}
     # A drain that was written into a way that carried nothing was not heard; one before it was.
     drain = LOST["a send to a draining box"][1]
-    assert broken(*drain, acts=way(-1)) == set() and broken(*drain, acts=way(0)) == set()
-    before = [Told(SECOND // 3, 0, 0, "draining", 41), *drain[1:]]
-    assert broken(*before, acts=way(-1)) == {"late_sends_after_drain"}
+    assert broken(*drain, events=way(-1)) == set() and broken(*drain, events=way(0)) == set()
+    before = [ListDelivery(SECOND // 3, 0, 0, "draining", 41), *drain[1:]]
+    assert broken(*before, events=way(-1)) == {"late_sends_after_drain"}
 
 
-def seen(at: float, relay: int, *there: int, **gone: int) -> Seen:
+def seen(at: float, relay: int, *there: int, **gone: int) -> MembershipView:
     view = {relay: "self"} | dict.fromkeys(there, "alive") | {other: state for state, other in gone.items()}
-    return Seen(int(at * SECOND), relay, view)
+    return MembershipView(int(at * SECOND), relay, view)
 
 
 def test_views_are_held_against_what_was_done_to_the_relays() -> None:
-    acts = (Act(4 * SECOND, "relay", "kill", 2),)
-    peers = {"operator": {"peers": {"on": True}}, "relays": 3, "acts": acts}
-    lives = [Life(relay, -SECOND, 0, 20 * SECOND, "over", 0, 0, 0) for relay in (0, 1)]
-    lives.append(Life(2, -SECOND, 0, 4 * SECOND, "killed", -9, 0, 0))
+    acts = (ScheduledEvent(4 * SECOND, "relay", "kill", 2),)
+    peers = {"operator": {"peers": {"on": True}}, "relays": 3, "events": acts}
+    lives = [RelayLifetime(relay, -SECOND, 0, 20 * SECOND, "over", 0, 0, 0) for relay in (0, 1)]
+    lives.append(RelayLifetime(2, -SECOND, 0, 4 * SECOND, "killed", -9, 0, 0))
     good = [seen(7, 0, 1, dead=2), seen(8, 1, 0, dead=2)]
     good += [seen(19.5, 0, 1, dead=2), seen(19.5, 1, 0, dead=2)]
-    told = judged(*lives, *good, Carried(0, 4400, 9), **peers).peers
+    told = judged(*lives, *good, PeerTraffic(0, 4400, 9), **peers).peers
     assert told == {
         "views": 1,
         "dead_but_reachable": 0,
@@ -274,23 +284,23 @@
     assert [told[name] for name in names] == [2, 1, 1, None]
     silent = judged(*lives, *good[:3], **peers).peers
     assert silent["dead_but_reachable"] == 1, "a live one that shows no view"
-    late = Act(15 * SECOND, "lane", "cut", 0, 0.0, 1)
-    assert judged(*lives, *wrong, **peers | {"acts": (late,)}).peers["dead_but_reachable"] is None
+    late = ScheduledEvent(15 * SECOND, "lane", "cut", 0, 0.0, 1)
+    assert judged(*lives, *wrong, **peers | {"events": (late,)}).peers["dead_but_reachable"] is None
 
 
 def test_figures_are_sums_over_all_processes() -> None:
     verdict = judged(
         call(),
         setup(),
-        Second(2, LIVE, 10.0, 0.0),
-        Second(8, LIVE, 6.0, 6.0),
-        Second(8, LIVE, 2.0, 1.0),
-        Second(9, MAP, 4.0, 1.0),
-        BoxSecond(3, 1, 0.5, 7),
-        Life(0, 0, 5, SECOND, "over", 0, 2 * SECOND, 2048),
-        Life(1, 0, 5, SECOND, "over", 0, SECOND, 4096),
-        Late("boxes 0", 3 * MS, 0),
-        Late("clients 0", 9 * MS, 0),
+        ServedSecond(2, LIVE, 10.0, 0.0),
+        ServedSecond(8, LIVE, 6.0, 6.0),
+        ServedSecond(8, LIVE, 2.0, 1.0),
+        ServedSecond(9, MAP, 4.0, 1.0),
+        BoxLoad(3, 1, 0.5, 7),
+        RelayLifetime(0, 0, 5, SECOND, "over", 0, 2 * SECOND, 2048),
+        RelayLifetime(1, 0, 5, SECOND, "over", 0, SECOND, 4096),
+        TimerLateness("boxes 0", 3 * MS, 0),
+        TimerLateness("clients 0", 9 * MS, 0),
     )
     assert verdict.well_served["live"] == 7 / 8, "what comes before the warm-up's end does not count"
     assert verdict.well_served["map"] == 0.25
@@ -303,7 +313,7 @@
         {"second": 1, "opened": 1, "declined": 0, "closed_with_error": 0, "setups": 1}
         | {"p50_ms": 20.0, "p99_ms": 20.0}
     ]
-    assert judged(Late("boxes 0", 400 * MS, 0)).standins_late
+    assert judged(TimerLateness("boxes 0", 400 * MS, 0)).standins_late
 
 
 words = st.sampled_from(("UP", "BUSY", "ERR", "CLOSED", "GAVE_UP", "UNREACHED", ""))
@@ -314,7 +324,7 @@
 @given(
     st.lists(
         st.builds(
-            Call,
+            ClientRequest,
             st.sampled_from("abc"),
             st.integers(0, 1),
             st.integers(0, 3),
@@ -327,7 +337,7 @@
     ),
     st.lists(
         st.builds(
-            Setup,
+            BoxAttempt,
             st.integers(0, 11),
             st.integers(0, 1),
             st.sampled_from("abc"),
@@ -339,20 +349,25 @@
     ),
 )
 def test_any_books_are_judged_and_read_back_as_they_were_written(
-    calls: list[Call], setups: list[Setup]
+    calls: list[ClientRequest], setups: list[BoxAttempt]
 ) -> None:
     verdict = judged(*calls, *setups)
     assert sum(verdict.answers.values()) + sum(verdict.no_answer.values()) == len(calls)
-    assert set(verdict.flat()) >= {"unanswered", "overlapping_setups", "cold_pushed_over", "well_served"}
+    assert set(verdict.to_flat_dict()) >= {
+        "unanswered",
+        "overlapping_setups",
+        "cold_pushed_over",
+        "well_served",
+    }
 
 
 def test_a_book_that_was_cut_off_is_read_up_to_there(tmp_path: Path) -> None:
     path = tmp_path / "book"
-    book = Book(path)
-    entries = [call(), setup(), Told(1, 0, 2, "up", 41)]
+    book = EventLog(path)
+    entries = [call(), setup(), ListDelivery(1, 0, 2, "up", 41)]
     for entry in entries:
         book.write(entry)
     book.close()
-    assert list(read_book(path)) == entries
+    assert list(read_event_log(path)) == entries
     path.write_bytes(path.read_bytes()[:-3])
-    assert list(read_book(path)) == entries[:2]
+    assert list(read_event_log(path)) == entries[:2]
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -170,7 +170,7 @@
     for name in shipped():
         scenario = load_scenario(name)
         assert plan_of(scenario, 5) == plan_of(scenario, 5)
-        assert all(act.at >= 0 for act in plan_of(scenario, 5).acts)
+        assert all(act.at >= 0 for act in plan_of(scenario, 5).events)
         assert plan_of(scenario, 5) != plan_of(scenario, 6)
     with raises(BadFileError, match="rig list"):
         load_scenario("none")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -18,7 +18,7 @@
     scenario = soak_scenario(seed)
     assert scenario == soak_scenario(seed)
     plan = plan_of(scenario, seed)
-    assert any(act.what == "step" for act in plan.acts)
+    assert any(act.action == "step" for act in plan.events)
     assert len(plan.faults) >= 6
     assert all(begin >= 4 and end <= plan.seconds - 4 + 0.01 for _, begin, end in plan.faults)
     assert ("rude" in [kind for kind, *_ in plan.faults]) >= (seed % CROWD_EVERY == 0)
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -14,13 +14,13 @@
 from cedarledge.rig.report import write_report
 from cedarledge.rig.scenario import Scenario
 from cedarledge.rig.schedule import plan_of
-from cedarledge.standins.books import BoxSecond, Second
-from cedarledge.standins.box_model import MOST_PILED, BoxModel
+from cedarledge.standins.box_model import MAX_BACKLOG, BoxModel
+from cedarledge.standins.event_log import BoxLoad, ServedSecond
 from cedarledge.standins.judge import RULES, Judge
 from cedarledge.standins.plan import BoxPlan
 from cedarledge.terms import MS, SECOND
 
-TERMS = plan_of(Scenario("Test"), 1).box_terms
+TERMS = plan_of(Scenario("Test"), 1).box_settings
 BOX = BoxPlan("s-1", 0, "zone-1", "full", 2.0, 1.0, 3, True)
 
 
@@ -60,13 +60,13 @@
 def test_a_cold_box_warms_and_falls_only_under_long_pressure() -> None:
     model = box(cold=True)
     assert model.strength(0) == approx(TERMS.cold_from * 2)
-    assert model.strength(TERMS.warm_within // 2) == approx((1 + TERMS.cold_from) / 2 * 2)
-    assert model.strength(TERMS.warm_within) == 2
-    load = 1.05 * TERMS.fall_multiple * model.strength(2 * SECOND)
+    assert model.strength(TERMS.warmup_duration // 2) == approx((1 + TERMS.cold_from) / 2 * 2)
+    assert model.strength(TERMS.warmup_duration) == 2
+    load = 1.05 * TERMS.overload_multiple * model.strength(2 * SECOND)
     model.opened(load)
     assert not model.is_pushed_over(0)
-    assert not model.is_pushed_over(TERMS.fall_span - MS)
-    assert model.is_pushed_over(TERMS.fall_span)
+    assert not model.is_pushed_over(TERMS.overload_duration - MS)
+    assert model.is_pushed_over(TERMS.overload_duration)
     warm = box()
     warm.opened(load)
     assert not any(warm.is_pushed_over(second * SECOND) for second in range(9)), "a warm one does not fall"
@@ -76,16 +76,16 @@
     eased.ended(load)
     eased.is_pushed_over(SECOND)
     eased.opened(load)
-    assert not eased.is_pushed_over(TERMS.fall_span + MS), "pressure that lets up begins anew"
+    assert not eased.is_pushed_over(TERMS.overload_duration + MS), "pressure that lets up begins anew"
 
 
 def test_reports_are_refreshed_now_and_then_and_come_late() -> None:
     model = box()
     assert model.report(0).asked == 0
     model.opened(1.0)
-    assert model.report(TERMS.refresh - MS).asked == 0, "not made anew yet"
-    assert model.report(TERMS.refresh).asked == 0, "made, and on its way"
-    assert model.report(TERMS.refresh + TERMS.behind).asked == 0.5
+    assert model.report(TERMS.report_interval - MS).asked == 0, "not made anew yet"
+    assert model.report(TERMS.report_interval).asked == 0, "made, and on its way"
+    assert model.report(TERMS.report_interval + TERMS.report_delay).asked == 0.5
     model.frozen = True
     model.opened(1.0)
     assert model.report(60 * SECOND).asked == 0.5
@@ -106,8 +106,8 @@
             model.ended(held.pop())
         elif what == "s":
             assert model.setup(now, taken=size > 1) >= TERMS.round_trip
-        assert 0 < model.message(now) <= MOST_PILED + 1000 * MS
-        assert 0 <= model.piled <= MOST_PILED
+        assert 0 < model.message(now) <= MAX_BACKLOG + 1000 * MS
+        assert 0 <= model.piled <= MAX_BACKLOG
         assert model.report(now).held >= 0
     assert model.held == len(held)
     assert model.load == approx(sum(held), abs=1e-9)
@@ -146,8 +146,8 @@
 
 def test_a_report_holds_its_plots_and_says_what_broke(tmp_path: Path) -> None:
     plan = plan_of(Scenario("Test", name="test"), 4)
-    records = [Second(second, 0, 5.0, 4.0) for second in range(20)]
-    records += [BoxSecond(second, 0, 0.5, 3) for second in range(20)]
+    records = [ServedSecond(second, 0, 5.0, 4.0) for second in range(20)]
+    records += [BoxLoad(second, 0, 0.5, 3) for second in range(20)]
     path = write_report(tmp_path / "new", "A <title>", "about", plan, Judge(plan, records).verdict())
     text = path.read_text()
     assert path.name == "test-4.html"
@@ -166,7 +166,7 @@
     ("arguments", "code", "said"),
     [
         (["--version"], 0, "cedarledge"),
-        (["--help"], 0, "Exit codes"),
+        (["--help"], 0, "codes: 0 success; 1 a rule was broken"),
         (["rig", "list"], 0, "lyinglist"),
         (["rig", "run", "none"], 2, "no scenario of that name"),
         (["check", "none.toml"], 2, "none.toml"),
--- a/tests/test_terms_fleet_size.py
+++ b/tests/test_terms_fleet_size.py
@@ -10,14 +10,14 @@
 from test_terms_start import processor_seconds
 
 from cedarledge.standins.plan import (
-    MOST_BOXES,
-    MOST_RELAYS,
+    MAX_BOXES,
+    MAX_RELAYS,
     box_address,
-    box_way_address,
+    box_proxy_address,
     discovery_address,
-    discovery_way_address,
+    discovery_proxy_address,
     peer_address,
-    peer_lane_address,
+    peer_proxy_address,
     relay_address,
 )
 
@@ -69,10 +69,10 @@
 
 def test_the_rig_has_an_address_for_each_of_1100_relays_at_each_of_1100_backends() -> None:
     """It had addresses for 64 relays."""
-    assert min(MOST_RELAYS, MOST_BOXES) >= RELAYS
-    edges = [0, 1, 63, 64, 199, 200, 1023, 1024, RELAYS - 1, MOST_RELAYS - 1]
-    of_pairs = (box_address, box_way_address)
-    of_relays = (relay_address, peer_address, peer_lane_address, discovery_address, discovery_way_address)
+    assert min(MAX_RELAYS, MAX_BOXES) >= RELAYS
+    edges = [0, 1, 63, 64, 199, 200, 1023, 1024, RELAYS - 1, MAX_RELAYS - 1]
+    of_pairs = (box_address, box_proxy_address)
+    of_relays = (relay_address, peer_address, peer_proxy_address, discovery_address, discovery_proxy_address)
     addresses = [address(box, relay) for address in of_pairs for box in edges for relay in edges]
     addresses += [address(relay) for address in of_relays for relay in edges]
     assert len(set(addresses)) == len(addresses), "each has its own"
--- a/tests/test_terms_judge.py
+++ b/tests/test_terms_judge.py
@@ -6,13 +6,13 @@
 from pytest import mark
 from test_judge import LIVE, judged
 
-from cedarledge.standins.books import Call, Record, Setup
+from cedarledge.standins.event_log import BoxAttempt, ClientRequest, Record
 from cedarledge.terms import MS, SECOND
 
 
 def rejected_calls(relay: int, count: int, span: int) -> list[Record]:
     return [
-        Call(f"{relay}-{number}", relay, LIVE, at, 1200 * MS, "BUSY", at + 5 * MS)
+        ClientRequest(f"{relay}-{number}", relay, LIVE, at, 1200 * MS, "BUSY", at + 5 * MS)
         for number in range(count)
         for at in (SECOND + number * span // (count - 1),)
     ]
@@ -30,7 +30,7 @@
         (idle_relays(3, 20), 3),
         (idle_relays(3, 20, calls=14), 0),
         (idle_relays(3, 20, span=4 * SECOND - MS), 0),
-        ([*idle_relays(3, 20), Setup(0, 0, "0-7", 3 * SECOND, 3 * SECOND, "BUSY")], 2),
+        ([*idle_relays(3, 20), BoxAttempt(0, 0, "0-7", 3 * SECOND, 3 * SECOND, "BUSY")], 2),
     ],
     ids=["two", "three", "few calls", "not for long", "one with an attempt"],
 )
@@ -41,9 +41,9 @@
 def test_each_request_with_no_answer_is_counted() -> None:
     """One in 500, and five, may be: the judge's count of them is exact, past what it lists as findings."""
     unanswered = [
-        Call(f"t{number}", 0, LIVE, SECOND, 1200 * MS, "CLOSED", 2 * SECOND) for number in range(250)
+        ClientRequest(f"t{number}", 0, LIVE, SECOND, 1200 * MS, "CLOSED", 2 * SECOND) for number in range(250)
     ]
-    answered = [Call("t-up", 0, LIVE, SECOND, 1200 * MS, "BUSY", SECOND + 9 * MS)]
+    answered = [ClientRequest("t-up", 0, LIVE, SECOND, 1200 * MS, "BUSY", SECOND + 9 * MS)]
     verdict = judged(*unanswered, *answered)
     assert (verdict.counts["unanswered"], verdict.no_answer["closed"]) == (250, 250)
     assert msgspec.to_builtins(verdict)["connections"] == 251
--- a/tests/test_ways.py
+++ b/tests/test_ways.py
@@ -20,10 +20,10 @@
 from cedarledge.peers.shell import MAX_LOG_LINES, Shell
 from cedarledge.rig.scenario import Scenario, Zones, load_scenario, without_operator
 from cedarledge.rig.schedule import plan_of
-from cedarledge.standins.lanes import Lanes
-from cedarledge.standins.plan import Act, peer_address, peer_lane_address
-from cedarledge.standins.stage import Stage
-from cedarledge.standins.ways import End, Flow, Way
+from cedarledge.standins.plan import ScheduledEvent, peer_address, peer_proxy_address
+from cedarledge.standins.process_context import ProcessContext
+from cedarledge.standins.tcp_proxy import End, Flow, Way
+from cedarledge.standins.udp_proxy import Lanes
 from cedarledge.terms import MS, SECOND
 
 
@@ -102,7 +102,7 @@
     def __init__(self, **zones: object) -> None:
         scenario = Scenario("Test", relays=3, zones=Zones(**zones))
         self.clock, timers = virtual_timers()
-        self.lanes = Lanes(Stage(None, timers, timers.now, plan_of(scenario, 1), 7, None), 0, 1)
+        self.lanes = Lanes(ProcessContext(None, timers, timers.now, plan_of(scenario, 1), 7, None), 0, 1)
         self.came: list[tuple[int, bytes]] = []
         for door in self.lanes.doors:
             door.transport = SimpleNamespace(
@@ -118,7 +118,7 @@
         return len(self.came)
 
     def play(self, what: str, size: float, one: int = 0, other: int = 1) -> None:
-        self.lanes._played(Act(0, "lane", what, one, size, other))
+        self.lanes._played(ScheduledEvent(0, "lane", what, one, size, other))
 
 
 def test_each_direction_between_relays_is_broken_by_itself() -> None:
@@ -150,7 +150,7 @@
     assert field.came == [(1, b"x")]
     field.lanes.doors[1].datagramReceived(b"x", ("127.0.0.1", 7))
     field.clock.advance(1)
-    assert len(field.came) == 1 and peer_lane_address(1) != peer_address(1)
+    assert len(field.came) == 1 and peer_proxy_address(1) != peer_address(1)
 
 
 def test_a_scenario_carries_its_relays_operator_file_and_can_leave_it_out(tmp_path: Path) -> None:
@@ -168,8 +168,12 @@
         read_tables({"title": "x", "zones": {"regions": 3}}, Scenario)
     told = load_scenario("peers")
     on, off = plan_of(told, 1), plan_of(without_operator(told), 1)
-    assert on.peers and not off.peers and not [act for act in off.acts if act.who == "lane"]
-    assert [act for act in on.acts if act.who == "relay"] == [act for act in off.acts if act.who == "relay"]
+    assert (
+        on.peers_enabled and not off.peers_enabled and not [act for act in off.events if act.target == "lane"]
+    )
+    assert [act for act in on.events if act.target == "relay"] == [
+        act for act in off.events if act.target == "relay"
+    ]
     done = subprocess.run(
         [sys.executable, "-m", "cedarledge", "check", "--scenario", str(path)],
         capture_output=True,
