--- a/cedarledge/cli.py
+++ b/cedarledge/cli.py
@@ -25,7 +25,7 @@
 from cedarledge.peers.command import peers
 from cedarledge.rig.variants import BASELINES
 from cedarledge.scale.command import scale
-from cedarledge.standins.plan import MOST_BOXES, MOST_RELAYS
+from cedarledge.standins.plan import MAX_BOXES, MAX_RELAYS
 
 RULE_BROKEN, BAD_FILE, STANDINS_LATE = 1, 2, 3
 
@@ -83,12 +83,12 @@
     for option in (
         click.option(
             "--relays",
-            type=click.IntRange(1, MOST_RELAYS),
+            type=click.IntRange(1, MAX_RELAYS),
             help="Number of relays instead of the scenario's.",
         ),
         click.option(
             "--boxes",
-            type=click.IntRange(1, MOST_BOXES),
+            type=click.IntRange(1, MAX_BOXES),
             help="Number of backends instead of the scenario's.",
         ),
         click.option("--rate", type=click.FloatRange(0.1), help="New connections a second."),
@@ -111,9 +111,9 @@
 @rig.command("list")
 def list_scenarios() -> None:
     """List the scenarios that come with the program."""
-    from cedarledge.rig.scenario import load_scenario, shipped
+    from cedarledge.rig.scenario import load_scenario, shipped_scenarios
 
-    for name in shipped():
+    for name in shipped_scenarios():
         scenario = load_scenario(name)
         click.echo(f"{name:12} {scenario.title}: {scenario.about}")
 
@@ -135,7 +135,7 @@
         click.echo(f"cedarledge: {why}", err=True)
         sys.exit(STANDINS_LATE if isinstance(why, TooSlowError) else RULE_BROKEN)
     if out:
-        figures = verdict.flat() | {"variant": variant.name}
+        figures = verdict.to_flat_dict() | {"variant": variant.name}
         Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(figures), indent=1))
     if report:
         from cedarledge.rig.report import write_report
@@ -152,7 +152,7 @@
 
 
 def _exit_with_verdict(verdict: Any) -> None:
-    sys.exit(STANDINS_LATE if verdict.standins_late else 0 if verdict.holds else RULE_BROKEN)
+    sys.exit(STANDINS_LATE if verdict.standins_late else 0 if verdict.passed else RULE_BROKEN)
 
 
 @rig.command()
@@ -196,17 +196,17 @@
     """Run a SCENARIO, by name or file, and check it against the rules."""
     from cedarledge.rig.demo import LiveTable, summary
     from cedarledge.rig.scenario import load_scenario, without_operator
-    from cedarledge.rig.schedule import plan_of
-    from cedarledge.rig.variants import variant_of
+    from cedarledge.rig.schedule import build_plan
+    from cedarledge.rig.variants import create_variant
 
     try:
         loaded = load_scenario(scenario)
         if off:
             loaded = without_operator(loaded)
-        variant = variant_of(policy, operator_file, checkout)
+        variant = create_variant(policy, operator_file, checkout)
     except BadFileError as why:
         _exit_unusable(why)
-    plan = plan_of(loaded, seed, relays=relays, boxes=boxes, rate=rate, seconds=seconds)
+    plan = build_plan(loaded, seed, relays=relays, boxes=boxes, rate=rate, seconds=seconds)
     table = LiveTable(plan) if sys.stdout.isatty() else None
     verdict = _run(loaded, plan, variant, table, keep, out, report)
     click.echo(summary(verdict))
@@ -215,9 +215,9 @@
 
 def _run_arguments(what: str, scenario: str) -> list[str]:
     """Returns the arguments of `rig run` for one side: a checkout, operator file, baseline or scenario."""
-    from cedarledge.rig.scenario import shipped
+    from cedarledge.rig.scenario import shipped_scenarios
 
-    if what in shipped():
+    if what in shipped_scenarios():
         return [what]
     if what == "cedarledge":
         return [scenario]
@@ -319,7 +319,7 @@
 @rig.command()
 @click.option("--seeds", default="1-5", show_default=True, help="A range like 1-50.")
 @click.option(
-    "--relays", type=click.IntRange(1, MOST_RELAYS), help="Number of relays instead of a random one."
+    "--relays", type=click.IntRange(1, MAX_RELAYS), help="Number of relays instead of a random one."
 )
 @click.option("--seconds", type=click.FloatRange(12, 120), help="Length of each run.")
 @click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Parallel runs.")
@@ -337,7 +337,7 @@
     from cedarledge.rig.soak import SoakResult, soak_all
 
     def done(result: SoakResult) -> None:
-        word = "holds" if result.holds else result.problem or f"BROKEN {result.rules | result.invariants}"
+        word = "holds" if result.passed else result.problem or f"BROKEN {result.rules | result.invariants}"
         click.echo(f"seed {result.seed}: {result.connections} connections, {word}")
         for finding in result.findings:
             click.echo(f"  {finding}")
@@ -345,7 +345,7 @@
     results = soak_all(seeds_of(seeds), jobs, Path(keep), done, relays, seconds)
     if out:
         Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1))
-    held = sum(result.holds for result in results)
+    held = sum(result.passed for result in results)
     not_run = sum(bool(result.problem) for result in results)
     click.echo(f"{held} of {len(results)} seeds hold, {not_run} could not be run")
     sys.exit(0 if held == len(results) else STANDINS_LATE if held + not_run == len(results) else RULE_BROKEN)
@@ -364,15 +364,16 @@
     """Run a small fleet on this machine: two relays, a slow backend, a drain and a killed relay."""
     from cedarledge.rig.demo import LiveTable, summary
     from cedarledge.rig.scenario import load_scenario
-    from cedarledge.rig.schedule import plan_of
-    from cedarledge.rig.variants import variant_of
+    from cedarledge.rig.schedule import build_plan
+    from cedarledge.rig.variants import create_variant
 
     loaded = load_scenario("demo")
-    plan = plan_of(loaded, seed, seconds=seconds)
+    plan = build_plan(loaded, seed, seconds=seconds)
     click.echo(
         f"{plan.relays} relays, {len(plan.boxes)} emulated backends, about "
-        f"{plan.client_terms.standing} clients, for {seconds:g} s; on loopback, as process {os.getpid()}."
+        f"{plan.client_settings.initial_clients} clients, for {seconds:g} s; on loopback, "
+        f"as process {os.getpid()}."
     )
-    verdict = _run(loaded, plan, variant_of(), LiveTable(plan), None, out, report)
+    verdict = _run(loaded, plan, create_variant(), LiveTable(plan), None, out, report)
     click.echo(summary(verdict))
     _exit_with_verdict(verdict)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -26,7 +26,7 @@
         def call(method: object, *args: object) -> bool:
             if method == host.balancer.list_changed:
                 form, entries = args
-                host.tell(form, *entries)
+                host.update_list(form, *entries)
             else:
                 method(host.now, *args)
             return True
@@ -90,10 +90,10 @@
 @settings(derandomize=True, deadline=None, max_examples=200)
 def test_nothing_new_goes_to_a_banned_backend_whatever_the_list_says(steps: list[tuple[str, str]]) -> None:
     site = Listed()
-    host, boxes = site.host, site.boxes
+    host, boxes = site.host, site.registry
     banned: set[str] = set()
     for what, name in steps:
-        sends, probes = len(host.sends), len(host.probes)
+        sends, probes = len(host.attempts), len(host.probes)
         if what == "ban":
             site.ban(name)
             banned.add(name)
@@ -115,7 +115,7 @@
             if not host.requests[tun].answered:
                 # It fails there, and goes elsewhere as long as there is somewhere.
                 host.end(tun, Outcome.FULL)
-        new = host.sends[sends:]
+        new = host.attempts[sends:]
         assert not {boxes.backend_ids.names[ep] for _, _, ep in new} & banned
         assert not {boxes.backend_ids.names[ep] for _, ep in host.probes[probes:]} & banned
         # What is not banned, and up, is never lost by it.
@@ -125,17 +125,17 @@
 
 def test_a_ban_on_all_is_followed_where_a_list_of_all_to_set_aside_is_not() -> None:
     site = Listed()
-    site.boxes.set_excluded(NAMES)
+    site.registry.set_excluded(NAMES)
     tun = site.host.arrive()
-    assert site.host.sends and not site.host.requests[tun].answered, "a slip, which would close the site"
+    assert site.host.attempts and not site.host.requests[tun].answered, "a slip, which would close the site"
     for name in NAMES:
         site.ban(name)
-    sends = len(site.host.sends)
+    sends = len(site.host.attempts)
     tun = site.host.arrive()
-    assert site.host.requests[tun].answered and len(site.host.sends) == sends
+    assert site.host.requests[tun].answered and len(site.host.attempts) == sends
     site.put_back("b")
     site.host.now += 11 * SECOND  # warm
-    assert site.host.arrive() >= 0 and [ep for _, _, ep in site.host.sends[sends:]] == [1]
+    assert site.host.arrive() >= 0 and [ep for _, _, ep in site.host.attempts[sends:]] == [1]
 
 
 def test_one_that_comes_back_is_cold_and_forgotten_whatever_the_list_says() -> None:
@@ -176,22 +176,22 @@
         assert call(control, "POST", "/control/backends/a/offline") == 200
         start = time.monotonic()
         # The list says that it is there, in part and whole, and that it was started anew; so does SIGHUP's.
-        relay.discovery.tell(backends[0].entry())
-        relay.discovery.tell(backends[0].entry() | {"up_since_ms": int(time.time() * 1000)})
+        relay.discovery.publish(backends[0].entry())
+        relay.discovery.publish(backends[0].entry() | {"up_since_ms": int(time.time() * 1000)})
         relay.reload()
-        asked = len(backends[0].heads)
+        asked = len(backends[0].open_lines)
         assert all(relay.client().open(f"new{number}") == "UP r" for number in range(10))
         moved = 0
         while moved < held and time.monotonic() - start < 6:
             moved = sum(end == "ended" for end in backends[0].ends)
             time.sleep(0.05)
-        assert moved >= held and len(backends[0].heads) == asked
+        assert moved >= held and len(backends[0].open_lines) == asked
         assert call(control, "POST", "/control/backends/a/online") == 200
         start = time.monotonic()
-        while len(backends[0].heads) == asked and time.monotonic() - start < 5:
+        while len(backends[0].open_lines) == asked and time.monotonic() - start < 5:
             assert relay.client().open(f"back{time.monotonic()}") == "UP r"
             time.sleep(0.1)
-        assert len(backends[0].heads) > asked
+        assert len(backends[0].open_lines) > asked
 
 
 def test_a_ban_on_all_declines_and_probes_nobody(tmp_path: Path) -> None:
@@ -200,12 +200,12 @@
         assert relay.client().open() == "UP r"
         assert call(control, "POST", "/control/backends/a/offline") == 200
         wait_until(lambda: backend.ends.count("ended") + backend.ends.count("reset") >= 2)
-        seen = len(backend.ends), len(backend.heads)
+        seen = len(backend.ends), len(backend.open_lines)
         time.sleep(2.5)
         assert relay.client().open() == "BUSY"
         before = relay.client().open("k", "c=feed,d=4294967,at=a")
         assert before == "ERR", "what was open there before, too"
-        assert seen == (len(backend.ends), len(backend.heads)), "neither tunnels nor probes"
+        assert seen == (len(backend.ends), len(backend.open_lines)), "neither tunnels nor probes"
         assert call(control, "POST", "/control/backends/a/online") == 200
 
 
@@ -213,14 +213,14 @@
     site = Listed()
     host = site.host
     tun = host.arrive(key="k")
-    ep = host.sends[-1][2]
-    site.ban(site.boxes.backend_ids.names[ep])
+    ep = host.attempts[-1][2]
+    site.ban(site.registry.backend_ids.names[ep])
     # The host asks once more before it writes (Tunnels.may_send), and says that it was not sent.
-    assert ep not in site.boxes.ready
+    assert ep not in site.registry.ready
     host.end(tun, Outcome.NOT_SENT)
     while tun in host.balancer.state.awaiting_probe:
         host.report(host.balancer.state.awaiting_probe[tun].backend_id, 0.1)
-    assert host.sends[-1][2] != ep, "it goes elsewhere"
+    assert host.attempts[-1][2] != ep, "it goes elsewhere"
 
 
 def test_names_are_as_the_list_has_them(tmp_path: Path) -> None:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -50,7 +50,7 @@
         assert [client.read_line() for client in slow] == ["UP r"] * 3
         # A fast client is served too, and the relay survives the crowd.
         quick = relay.client()
-        assert quick.open() == "UP r" and [client.say("M 1") for client in slow] == ["M 1"] * 3
+        assert quick.open() == "UP r" and [client.exchange("M 1") for client in slow] == ["M 1"] * 3
 
 
 def test_clients_that_leave_between_request_and_answer_free_their_slots(tmp_path: Path) -> None:
@@ -59,7 +59,7 @@
         for number in range(60):
             client = relay.client()
             client.link.sendall(f"OPEN {number:016x} k c=bill,d=1500,g=g1\r\n".encode())
-            wait_until(lambda number=number: len(backend.heads) > number)
+            wait_until(lambda number=number: len(backend.open_lines) > number)
             client.close()
         wait_until(lambda: len(backend.ends) >= 60)
         backend.modes = ["UP r"]
--- a/tests/test_seams.py
+++ b/tests/test_seams.py
@@ -20,8 +20,8 @@
 from cedarledge.net.timers import Timers
 from cedarledge.operator.file import OperatorFile, read_operator_file
 from cedarledge.operator.tables import BadFileError, read_tables
-from cedarledge.rig.scenario import Scenario, load_scenario, shipped
-from cedarledge.rig.schedule import plan_of
+from cedarledge.rig.scenario import Scenario, load_scenario, shipped_scenarios
+from cedarledge.rig.schedule import build_plan
 from cedarledge.terms import ExternalView
 
 
@@ -166,12 +166,12 @@
 
 
 def test_shipped_scenarios_are_valid_and_their_plans_depend_on_the_seed_alone() -> None:
-    assert len(shipped()) >= 20
-    for name in shipped():
+    assert len(shipped_scenarios()) >= 20
+    for name in shipped_scenarios():
         scenario = load_scenario(name)
-        assert plan_of(scenario, 5) == plan_of(scenario, 5)
-        assert all(act.at >= 0 for act in plan_of(scenario, 5).acts)
-        assert plan_of(scenario, 5) != plan_of(scenario, 6)
+        assert build_plan(scenario, 5) == build_plan(scenario, 5)
+        assert all(act.at >= 0 for act in build_plan(scenario, 5).events)
+        assert build_plan(scenario, 5) != build_plan(scenario, 6)
     with raises(BadFileError, match="rig list"):
         load_scenario("none")
     with raises(BadFileError, match=r"fault\[0\].kind"):
@@ -185,11 +185,11 @@
     host.balancer.external_view_changed(host.now, ExternalView(excluded=frozenset({0, 1, 2})))
     for number in range(6):
         host.arrive(key=f"k{number}")
-    assert {backend_id for _, _, backend_id in host.sends} == {3}
+    assert {backend_id for _, _, backend_id in host.attempts} == {3}
     host.balancer.external_view_changed(host.now, ExternalView(excluded=frozenset(range(4))))
     for number in range(30):
         host.arrive(key=f"n{number}")
-    assert len({backend_id for _, _, backend_id in host.sends}) > 1
+    assert len({backend_id for _, _, backend_id in host.attempts}) > 1
 
 
 def test_the_operator_file_is_applied_and_read_again_and_an_invalid_one_changes_nothing(
@@ -201,7 +201,7 @@
     with RelayProgram(tmp_path, backends, arguments=["relay", "--file", str(path)]) as program:
         clients = [program.client() for _ in range(4)]
         assert [client.open(f"k{number}") for number, client in enumerate(clients)] == ["UP r"] * 4
-        assert (len(backends[0].heads), len(backends[1].heads)) == (0, 4)
+        assert (len(backends[0].open_lines), len(backends[1].open_lines)) == (0, 4)
 
         def records() -> list[dict]:
             return [json.loads(line) for line in program.log.read_text().splitlines() if line.startswith("{")]
@@ -211,9 +211,9 @@
         program.process.send_signal(signal.SIGHUP)
         wait_until(lambda: "boxes.aside" in program.log.read_text())
         assert program.client().open("k9") == "UP r"
-        assert not backends[0].heads, "the old file stays in effect"
+        assert not backends[0].open_lines, "the old file stays in effect"
         path.write_text('[boxes]\naside = ["s-b"]\n')
         program.process.send_signal(signal.SIGHUP)
         wait_until(lambda: "configuration read again" in program.log.read_text())
         assert program.client().open("k9") == "UP r"
-        assert len(backends[0].heads) == 1
+        assert len(backends[0].open_lines) == 1
