--- a/cedarledge/__main__.py
+++ b/cedarledge/__main__.py
@@ -85,7 +85,7 @@
         from cedarledge.cli import main as command_line
     except ImportError as why:
         sys.stderr.write(
-            f"cedarledge: the commands need {why.name}, which is part of the extra 'rig': "
+            f"cedarledge: the commands need {why.name}, which the extra 'rig' brings: "
             "pip install 'cedarledge[rig]'\n"
         )
         return START_FAILED
--- a/cedarledge/cli.py
+++ b/cedarledge/cli.py
@@ -43,8 +43,8 @@
 
     Without arguments it runs the relay that BALANCER_CONFIG configures.
 
-    Exit codes: 0 success; 1 a rule was broken; 2 bad usage or a file that can't be used; 3 an invalid run, since
-    the stand-ins ran late.
+    Exit codes: 0 success; 1 a rule was broken; 2 bad usage or a file that can't be used; 3 an invalid run,
+    since the stand-ins ran late.
 
     For completion in bash: eval "$(_CEDARLEDGE_COMPLETE=bash_source cedarledge)"; zsh and fish likewise.
     """
@@ -347,7 +347,7 @@
         Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1))
     held = sum(result.passed for result in results)
     not_run = sum(bool(result.problem) for result in results)
-    click.echo(f"{held} of {len(results)} seeds hold, {not_run} could not be run")
+    click.echo(f"{held} of {len(results)} seeds hold, {not_run} could not be played")
     sys.exit(0 if held == len(results) else STANDINS_LATE if held + not_run == len(results) else RULE_BROKEN)
 
 
@@ -370,7 +370,7 @@
     loaded = load_scenario("demo")
     plan = build_plan(loaded, seed, seconds=seconds)
     click.echo(
-        f"{plan.relays} relays, {len(plan.boxes)} emulated backends, about "
+        f"{plan.relays} relays, {len(plan.boxes)} simulated boxes, about "
         f"{plan.client_settings.initial_clients} clients, for {seconds:g} s; on loopback, "
         f"as process {os.getpid()}."
     )
