--- a/cedarledge/faults/__init__.py
+++ b/cedarledge/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults of the machine that a process under test runs on, injected into that process alone."""
+"""Fault injection into single processes by preload libraries: system call failures and wall clock steps."""
--- a/cedarledge/faults/preload.py
+++ b/cedarledge/faults/preload.py
@@ -1,4 +1,4 @@
-"""Builds the preload libraries of this package and joins their environments."""
+"""Compiles the preload libraries of this package and merges the environments that load them."""
 
 from __future__ import annotations
 
@@ -11,26 +11,29 @@
 PRELOAD = "LD_PRELOAD"
 
 
-class NoCompilerError(Exception):
-    """A preload library can't be built on this machine."""
+class PreloadBuildError(Exception):
+    """A preload library cannot be compiled: no C compiler on the PATH, or the compiler failed."""
 
 
-def build(name: str, folder: Path) -> Path:
-    """Compiles NAME.c of this package into a folder and gives the library's path. Raises NoCompilerError."""
+def compile_library(name: str, folder: Path) -> Path:
+    """Compiles NAME.c of this package and returns the path of the library, `folder`/NAME.so.
+
+    Raises PreloadBuildError.
+    """
     compiler = shutil.which("cc")
     if compiler is None:
-        raise NoCompilerError("preload libraries need a C compiler, cc, on the PATH")
+        raise PreloadBuildError("preload libraries need a C compiler, cc, on the PATH")
     source, library = Path(__file__).with_name(f"{name}.c"), folder / f"{name}.so"
     flags = ["-shared", "-fPIC", "-O2", "-Wall", "-Werror"]
     command = [compiler, *flags, str(source), "-o", str(library), "-ldl"]
-    built = subprocess.run(command, capture_output=True, text=True, check=False)
-    if built.returncode:
-        raise NoCompilerError(f"{source.name} does not compile: {built.stderr.strip()}")
+    result = subprocess.run(command, capture_output=True, text=True, check=False)
+    if result.returncode:
+        raise PreloadBuildError(f"{source.name} does not compile: {result.stderr.strip()}")
     return library
 
 
-def joined(*environments: Mapping[str, str]) -> dict[str, str]:
-    """One environment with the libraries of all."""
+def merge_environments(*environments: Mapping[str, str]) -> dict[str, str]:
+    """Returns the union of the environments; LD_PRELOAD lists the libraries of all of them."""
     libraries = [environment[PRELOAD] for environment in environments if PRELOAD in environment]
     merged: dict[str, str] = {}
     for environment in environments:
--- a/cedarledge/faults/system_calls.c
+++ b/cedarledge/faults/system_calls.c
@@ -1,10 +1,12 @@
 /*
- * Preload library: makes system calls on sockets fail, or fall short, in ways that their Linux pages document.
+ * Preload library: makes system calls on sockets fail, or transfer less than asked, in ways that their Linux
+ * manual pages document.
  *
- * CEDARLEDGE_SYSTEM_CALLS is SEED:RATE:KINDS, with a rate of failures in a million calls and a bit for each kind
- * of call. Only errors that leave a connection as it is are injected; those that end one would have to end it for
- * its peer as well.
- * CEDARLEDGE_SYSTEM_CALLS_COUNTS names a file of one 64-bit counter for each kind of call, which is mapped.
+ * CEDARLEDGE_SYSTEM_CALLS is SEED:RATE:KINDS. RATE is the number of failures per million calls, KINDS a bit
+ * mask with one bit for each kind of call. Only errors that do not affect the connection are injected: an error
+ * that ends a connection would have to end it for the peer as well.
+ * CEDARLEDGE_SYSTEM_CALLS_COUNTS names a file that is mapped into memory, with one 64-bit counter of injected
+ * failures for each kind of call.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -22,7 +24,7 @@
 
 static const int accept_errors[] = {ECONNABORTED, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO};
 static const int socket_errors[] = {EMFILE, ENFILE, ENOBUFS, ENOMEM};
-/* ETIMEDOUT and ECONNREFUSED say something of the peer: it is the peer that has to be at fault then. */
+/* Without ETIMEDOUT and ECONNREFUSED, which blame the peer: they may occur only if the peer has failed. */
 static const int connect_errors[] = {EADDRNOTAVAIL, EAGAIN, ENETUNREACH, EINTR};
 static const int send_errors[] = {EAGAIN, EINTR, ENOBUFS, ENOMEM};
 static const int recv_errors[] = {EAGAIN, EINTR, ENOMEM};
@@ -135,7 +137,7 @@
 int epoll_ctl(int descriptor, int operation, int target, struct epoll_event *event)
 {
     SYSTEM(epoll_ctl, int, int, int, int, struct epoll_event *);
-    /* To take one away needs no memory. */
+    /* Removing a descriptor needs no memory, so it does not fail. */
     if (operation != EPOLL_CTL_DEL && fails(EPOLL_CTL))
         return FAIL(epoll_ctl_errors);
     return system_epoll_ctl(descriptor, operation, target, event);
@@ -146,7 +148,7 @@
     SYSTEM(close, int, int);
     if (rate == 0 || !is_socket(descriptor) || !fails(CLOSE))
         return system_close(descriptor);
-    /* Linux has closed it whatever it says. */
+    /* Linux closes the descriptor even if close() returns an error. */
     system_close(descriptor);
     return FAIL(close_errors);
 }
--- a/cedarledge/faults/wall_clock.c
+++ b/cedarledge/faults/wall_clock.c
@@ -1,9 +1,10 @@
 /*
  * Preload library: adds an offset to the wall clock of the process that loads it.
  *
- * CEDARLEDGE_WALL_CLOCK names a file with the offset, a native 64-bit count of nanoseconds. The file is mapped,
- * so a change of it steps the clock of every process that has it at once. CLOCK_MONOTONIC is left alone, and so
- * are waits, which Linux counts by it unless a program asks for an absolute wall-clock time.
+ * CEDARLEDGE_WALL_CLOCK names a file with the offset in nanoseconds, a 64-bit integer in native byte order. The
+ * file is mapped into memory, so writing to it steps the clock of every process that has mapped it at once.
+ * CLOCK_MONOTONIC is unchanged, and so are waits, which Linux measures by it unless a program asks for an
+ * absolute wall clock time.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
--- a/cedarledge/faults/wall_clock.py
+++ b/cedarledge/faults/wall_clock.py
@@ -1,4 +1,4 @@
-"""Steps the wall clock of chosen processes, as an operator or a time service would step a machine's."""
+"""Steps the wall clock of selected processes, as an operator or a time service may step a machine's clock."""
 
 from __future__ import annotations
 
@@ -6,34 +6,37 @@
 import struct
 from pathlib import Path
 
-from cedarledge.faults.preload import PRELOAD, build
+from cedarledge.faults.preload import PRELOAD, compile_library
 
-OFFSET = struct.Struct("=q")
+OFFSET_FORMAT = struct.Struct("=q")
 
 
 class WallClock:
-    """The wall clock of all processes that are started with its environment."""
+    """The wall clock shared by all processes that are started with its environment."""
 
     def __init__(self, folder: Path, library: Path | None = None) -> None:
-        """Keeps its offset in the folder, and its library if none is given, which has to outlive those
-        processes."""
-        self._library = library or build("wall_clock", folder)
+        """Writes the offset file, and the library unless one is given, to `folder`.
+
+        The folder has to exist as long as the processes run. Raises PreloadBuildError.
+        """
+        self._library = library or compile_library("wall_clock", folder)
         self._path = folder / "wall_clock.offset"
-        self._path.write_bytes(OFFSET.pack(0))
+        self._path.write_bytes(OFFSET_FORMAT.pack(0))
         self._file = os.open(self._path, os.O_RDWR | os.O_CLOEXEC)
 
     def environment(self) -> dict[str, str]:
-        """What a process has to be started with to have this clock."""
+        """Returns the environment variables that give this clock to a process started with them."""
         return {PRELOAD: str(self._library), "CEDARLEDGE_WALL_CLOCK": str(self._path)}
 
     @property
     def offset(self) -> int:
-        """How far it stands from the system's, in ns."""
-        return OFFSET.unpack(os.pread(self._file, OFFSET.size, 0))[0]
+        """Difference between this clock and the system's wall clock, in ns."""
+        return OFFSET_FORMAT.unpack(os.pread(self._file, OFFSET_FORMAT.size, 0))[0]
 
     def step(self, by: int) -> None:
-        """Steps it by so many ns, forward or back."""
-        os.pwrite(self._file, OFFSET.pack(self.offset + by), 0)
+        """Steps the clock by `by` ns, forward if positive and back if negative."""
+        os.pwrite(self._file, OFFSET_FORMAT.pack(self.offset + by), 0)
 
     def close(self) -> None:
+        """Closes the offset file; running processes keep the last offset."""
         os.close(self._file)
--- a/cedarledge/rig/__init__.py
+++ b/cedarledge/rig/__init__.py
@@ -1,1 +1,1 @@
-"""Runs of the stand-in fleet: scenarios, relays as processes, comparisons, reports."""
+"""Test rig: scenarios on an emulated fleet, relays as processes, fault schedules, comparisons and reports."""
--- a/cedarledge/rig/baselines.py
+++ b/cedarledge/rig/baselines.py
@@ -1,5 +1,7 @@
-"""What cedarledge is compared with, in the rig only: plain ways to choose a box on the same relay, and a bare
-pass-through on the same Twisted that decides nothing.
+"""Baselines for comparisons in the rig: simple balancing policies, and a pass-through proxy.
+
+The policies `random`, `fewest` and `hash` run on the same relay. `pass` is a proxy on the same Twisted that
+forwards bytes and takes backends round robin.
 
     python -m cedarledge.rig.baselines random|fewest|hash|pass
 """
@@ -22,18 +24,24 @@
 from cedarledge.policy.state import Backend, Connection, State
 from cedarledge.terms import DeploymentSettings, PolicyHost
 
-ALONE_SALT = 1 << 41
+# Makes the hash differ from the other uses of a backend's hash id.
+HASH_SALT = 1 << 41
 
 
 class PlainBalancer(Balancer):
-    """Chooses among the ready backends that the rules allow, knows nothing of their load, and tries again
-    where the rules allow it. Drains, the list, and the rules on effects are the relay's, or nothing would be
-    compared. No probes, no moves but off draining backends, and nobody is ejected for a failed answer."""
+    """Base of the policies that choose among ready backends without regard to their load.
+
+    Retries, draining, the backend list and the rules on side effects of requests stay as in the relay, so
+    that runs are comparable. There are no probes, connections move only off draining backends, and no backend
+    is ejected for failures.
+    """
 
     def __init__(self, host: PolicyHost, settings: DeploymentSettings) -> None:
+        """Takes the settings with probes disabled."""
         super().__init__(host, settings._replace(probes=False))
 
     def choose(self, state: State, now: int, connection: Connection) -> Choice | None:
+        """Returns a backend that may be attempted, or None if there is none."""
         backends = [
             backend
             for cell in state.cells.values()
@@ -43,37 +51,41 @@
         return Choice(self.choose_among(connection, backends), "rank") if backends else None
 
     def choose_among(self, connection: Connection, backends: list[Backend]) -> Backend:
+        """Returns one of `backends`, which is not empty."""
         raise NotImplementedError
 
     def record_failure(self, state: State, now: int, backend: Backend) -> None:
-        """Nobody is ejected."""
+        """Ignores the failure: no backend is ejected."""
 
     def rebalance_connections(self, state: State, now: int) -> None:
-        """No moves but off draining backends."""
+        """Moves nothing; the relay still moves connections off draining backends."""
 
 
 class RandomBalancer(PlainBalancer):
-    """Any ready backend."""
+    """Chooses a ready backend uniformly at random."""
 
     def choose_among(self, connection: Connection, backends: list[Backend]) -> Backend:
+        """Returns a random backend."""
         return backends[int(self.random() * len(backends))]
 
 
 class FewestBalancer(PlainBalancer):
-    """The backend that holds the fewest of this relay's connections."""
+    """Chooses the backend with the fewest open connections from this relay."""
 
     def choose_among(self, connection: Connection, backends: list[Backend]) -> Backend:
+        """Returns the backend with the fewest open connections; `tie_break` decides between equal ones."""
         return min(backends, key=lambda backend: (backend.open, backend.tie_break))
 
 
 class HashBalancer(PlainBalancer):
-    """The key's backend by rendezvous hashing, and the next one for each further attempt."""
+    """Chooses the backend of the connection's key by rendezvous hashing, and the next one for each retry."""
 
     def choose_among(self, connection: Connection, backends: list[Backend]) -> Backend:
+        """Returns the backend with the highest weighted hash; without a key, a random one."""
         seed = hash64(connection.key or str(self.random()))
 
         def rank(backend: Backend) -> float:
-            return backend.weight / -math.log(unit_hash(seed, backend.hash_id ^ ALONE_SALT))
+            return backend.weight / -math.log(unit_hash(seed, backend.hash_id ^ HASH_SALT))
 
         return max(backends, key=rank)
 
@@ -85,23 +97,26 @@
 }
 
 
-def run_pass(told: dict[str, Any]) -> int:
-    """Hands each connection to the next box in turn, bytes unread."""
+def run_pass_through(configuration: dict[str, Any]) -> int:
+    """Runs the pass-through proxy: forwards each connection to the next backend in turn, without parsing.
+
+    A first packet that is exactly `PING` is answered here, as the rig asks by it whether the relay is ready.
+    """
     from twisted.internet.endpoints import TCP4ClientEndpoint, connectProtocol
     from twisted.internet.protocol import Protocol, ServerFactory
 
     reactor = install_reactor()
-    boxes = [entry["host_port"].rpartition(":")[::2] for entry in told["known"]["members"]]
-    turn = iter(lambda: boxes.append(boxes.pop(0)) or boxes[-1], None)
+    backends = [entry["host_port"].rpartition(":")[::2] for entry in configuration["known"]["members"]]
+    round_robin = iter(lambda: backends.append(backends.pop(0)) or backends[-1], None)
 
-    class Box(Protocol):
-        def __init__(self, client: Client) -> None:
+    class BackendConnection(Protocol):
+        def __init__(self, client: ClientConnection) -> None:
             self.client = client
 
         def connectionMade(self) -> None:  # noqa: N802
             self.transport.setTcpNoDelay(True)
-            self.client.box = self
-            self.transport.write(self.client.early)
+            self.client.backend = self
+            self.transport.write(self.client.pending_data)
 
         def dataReceived(self, data: bytes) -> None:  # noqa: N802
             self.client.transport.write(data)
@@ -109,42 +124,43 @@
         def connectionLost(self, _reason: Any) -> None:  # noqa: N802
             self.client.transport.loseConnection()
 
-    class Client(Protocol):
-        early = b""
-        box: Box | None = None
+    class ClientConnection(Protocol):
+        pending_data = b""
+        backend: BackendConnection | None = None
 
         def connectionMade(self) -> None:  # noqa: N802
             self.transport.setTcpNoDelay(True)
 
         def dataReceived(self, data: bytes) -> None:  # noqa: N802
-            if self.box is not None:
-                self.box.transport.write(data)
+            if self.backend is not None:
+                self.backend.transport.write(data)
             elif data == b"PING\r\n":
                 self.transport.write(b"PONG\r\n")
             else:
-                first, self.early = not self.early, self.early + data
-                if first:
-                    host, port = next(turn)
+                is_first, self.pending_data = not self.pending_data, self.pending_data + data
+                if is_first:
+                    host, port = next(round_robin)
                     connectProtocol(
-                        TCP4ClientEndpoint(reactor, host, int(port), timeout=1), Box(self)
-                    ).addErrback(lambda _why: self.transport.abortConnection())
+                        TCP4ClientEndpoint(reactor, host, int(port), timeout=1), BackendConnection(self)
+                    ).addErrback(lambda _reason: self.transport.abortConnection())
 
         def connectionLost(self, _reason: Any) -> None:  # noqa: N802
-            if self.box is not None:
-                self.box.transport.loseConnection()
+            if self.backend is not None:
+                self.backend.transport.loseConnection()
 
     factory: Callable[[], ServerFactory] = ServerFactory
     port = factory()
-    port.protocol, port.noisy = Client, False
-    host, _, number = told["listen"].rpartition(":")
+    port.protocol, port.noisy = ClientConnection, False
+    host, _, number = configuration["listen"].rpartition(":")
     reactor.listenTCP(int(number), port, backlog=1024, interface=host)
     reactor.run()
     return 0
 
 
 def main(name: str) -> int:
+    """Runs the baseline called `name` with the configuration in BALANCER_CONFIG; returns the exit code."""
     if name == "pass":
-        return run_pass(json.loads(Path(os.environ["BALANCER_CONFIG"]).read_bytes()))
+        return run_pass_through(json.loads(Path(os.environ["BALANCER_CONFIG"]).read_bytes()))
     from cedarledge.net.config import read_config
     from cedarledge.net.relay import run
 
--- a/cedarledge/rig/run.py
+++ b/cedarledge/rig/run.py
@@ -19,7 +19,7 @@
 import msgspec
 from twisted.internet.protocol import ProcessProtocol
 
-from cedarledge.faults.preload import build, joined
+from cedarledge.faults.preload import compile_library, merge_environments
 from cedarledge.faults.system_calls import SystemCallFaults
 from cedarledge.faults.wall_clock import WallClock
 from cedarledge.net.reactor import install_reactor
@@ -255,8 +255,8 @@
         failing = {
             act.which: act.size for act in self.plan.acts if act.who == "relay" and act.what == "system_calls"
         }
-        clock_library = build("wall_clock", self.folder) if stepped else None
-        calls_library = build("system_calls", self.folder) if failing else None
+        clock_library = compile_library("wall_clock", self.folder) if stepped else None
+        calls_library = compile_library("system_calls", self.folder) if failing else None
         self.clocks = {
             relay: WallClock(self._fault_folder(relay), clock_library) for relay in sorted(stepped)
         }
@@ -316,7 +316,7 @@
         process = self.relays[relay] = RelayProcess(self, relay, self.folder / f"relay-{relay}.log")
         env = os.environ | {"BALANCER_CONFIG": str(path), "BALANCER_NAME": name} | self.variant.env
         faults = (self.clocks.get(relay), self.system_calls.get(relay))
-        env |= joined(*(fault.environment() for fault in faults if fault is not None))
+        env |= merge_environments(*(fault.environment() for fault in faults if fault is not None))
         command = self.variant.command
         if self.plan.operator and self.variant.takes_file:
             command = [*command, "relay", "--file", self._operator_file(relay)]
--- a/cedarledge/rig/variants.py
+++ b/cedarledge/rig/variants.py
@@ -1,4 +1,4 @@
-"""How the relays of a run are started: as they are, with a file, from a checkout, or as a baseline."""
+"""How the relays of a run are started: plainly, with an operator file, from a checkout, or as a baseline."""
 
 from __future__ import annotations
 
@@ -13,20 +13,23 @@
 
 
 class Variant(msgspec.Struct, frozen=True):
-    """What a relay's process is."""
+    """Command and environment of a relay process."""
 
     name: str
     command: list[str]
     cwd: str | None = None
     env: dict[str, str] = {}
-    # A scenario's own operator file; not where another file goes before it.
+    # Whether the scenario's operator file is passed; False if an operator file was given explicitly.
     takes_file: bool = False
 
 
 def create_variant(
     policy: str = "cedarledge", operator_file: str | None = None, checkout: str | None = None
 ) -> Variant:
-    """Raises BadFileError for what is not there."""
+    """Returns the variant for a policy, an operator file, a checkout, or the last two together.
+
+    Raises BadFileError if the checkout is none, or if a baseline is combined with a file or checkout.
+    """
     if policy != "cedarledge":
         if operator_file is not None or checkout is not None:
             raise BadFileError([f"--policy {policy}: a baseline takes neither --file nor --checkout"])
