--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -185,7 +185,7 @@
         assert all(client.open(str(number)) == "UP r" for number, client in enumerate(clients))
         idle, start = relay.client(), time.monotonic()
         assert [call(address, "POST", "/control/out-of-service") for _ in range(2)] == [200, 200]
-        assert relay.client().say("PING") == "ERR" and call(address, "GET", "/control/ready") == 503
+        assert relay.client().exchange("PING") == "ERR" and call(address, "GET", "/control/ready") == 503
         # A request that was on its way still gets a final answer, and is moved with the others.
         late = relay.client()
         assert late.open("late") == "UP r"
@@ -194,8 +194,8 @@
         assert idle.read_line() == "" and time.monotonic() - start < 4
         # A request after that time is rejected at once, and no backend gets it.
         time.sleep(max(0, start + 3.5 - time.monotonic()))
-        heads = len(backend.heads)
-        assert relay.client().open("later") == "BUSY" and len(backend.heads) == heads
+        heads = len(backend.open_lines)
+        assert relay.client().open("later") == "BUSY" and len(backend.open_lines) == heads
         assert [call(address, "POST", "/control/in-service") for _ in range(2)] == [200, 200]
         assert relay.answers() and relay.client().open("again") == "UP r"
 
@@ -211,7 +211,7 @@
         kept = 0
         for client in clients:
             with suppress(OSError):
-                kept += client.say("M 1") == "M 1"
+                kept += client.exchange("M 1") == "M 1"
         assert 0 < kept < 20
 
 
@@ -220,7 +220,7 @@
     with running(tmp_path, backend) as (relay, address):
         client, start = relay.client(), time.monotonic()
         client.link.sendall(b"OPEN 00000000000000aa k c=bill,d=1500\r\n")
-        wait_until(lambda: len(backend.heads) == 1)
+        wait_until(lambda: len(backend.open_lines) == 1)
         assert call(address, "POST", "/control/out-of-service") == 200
         assert client.read_line() == "ERR" and time.monotonic() - start < 4
 
@@ -230,7 +230,9 @@
         assert call(address, "POST", "/control/out-of-service") == 200
         relay.reload()
         wait_until(lambda: b"configuration read again" in relay.log.read_bytes())
-        assert relay.client().say("PING") == "ERR", "reading the configuration again leaves the service state"
+        assert relay.client().exchange("PING") == "ERR", (
+            "reading the configuration again leaves the service state"
+        )
         relay.terminate()
         wait_until(lambda: b"stops within" in relay.log.read_bytes())
         assert call(address, "POST", "/control/in-service") == 409
