--- a/cedarledge/net/backends.py
+++ b/cedarledge/net/backends.py
@@ -1,4 +1,8 @@
-"""The backends' side: setups, the lines of open tunnels, probes."""
+"""Connections to backends: setups, the lines of open connections, and probes.
+
+A setup is one attempt to open a client's connection on a backend: the relay connects, forwards the client's
+first line, and waits for the backend's answer. The same connection then carries the lines in both directions.
+"""
 
 from __future__ import annotations
 
@@ -22,29 +26,53 @@
 from cedarledge.settings import ReportReader
 from cedarledge.terms import MS, LoadReport, Outcome
 
-# First words of the lines that end a setup or an open tunnel.
-LAST_WORDS = {b"BYE": Outcome.DONE, b"MOVE": Outcome.CANCELLED, b"ERR": Outcome.ERROR, b"BUSY": Outcome.FULL}
+# Outcomes by the first word of the line that ends a setup or an open connection.
+OUTCOMES_BY_WORD = {
+    b"BYE": Outcome.DONE,
+    b"MOVE": Outcome.CANCELLED,
+    b"ERR": Outcome.ERROR,
+    b"BUSY": Outcome.FULL,
+}
 
 # What a turn of a busy reactor may take.
-TURN = 50 * MS
-# How soon a probe that took unusually long is sent once more.
-ASK_AGAIN = 250 * MS
-# How soon a connect for which this machine lacked something is begun again.
-TRY_AGAIN = 10 * MS
+MAX_REACTOR_TURN = 50 * MS
+# Delay before a probe is repeated whose answer took unusually long.
+PROBE_REPEAT_DELAY = 250 * MS
+# Delay before a connect is repeated that failed for lack of something on this machine.
+CONNECT_RETRY_DELAY = 10 * MS
 
 
-ProbeOver = Callable[[int, bool, LoadReport], None]
+# Called with a backend, whether it answered PONG, and its load report.
+ProbeCallback = Callable[[int, bool, LoadReport], None]
 
 
 class SetupObserver(Protocol):
-    """Where the backends' side tells what comes of setups."""
-
-    def may_send(self, tunnel_id: int, backend_id: int) -> bool: ...
-    def client_time_left(self, tunnel_id: int) -> int: ...
-    def client_has_left(self, tunnel_id: int) -> bool: ...
-    def setup_opened(self, tunnel_id: int, line: bytes, took: int) -> None: ...
-    def backend_lines_received(self, tunnel_id: int, lines: list[bytes]) -> None: ...
-    def backend_lines_malformed(self, tunnel_id: int) -> None: ...
+    """Answers questions about a setup's client and receives its results. Durations are in ns."""
+
+    def may_send(self, tunnel_id: int, backend_id: int) -> bool:
+        """Tells whether the request may still be written to that backend."""
+        ...
+
+    def client_time_left(self, tunnel_id: int) -> int:
+        """Returns how long the client still waits for its answer; below 0 if it no longer does."""
+        ...
+
+    def client_has_left(self, tunnel_id: int) -> bool:
+        """Tells whether the client has closed its connection."""
+        ...
+
+    def setup_opened(self, tunnel_id: int, line: bytes, took: int) -> None:
+        """Called with the backend's UP line, `took` after the setup began."""
+        ...
+
+    def backend_lines_received(self, tunnel_id: int, lines: list[bytes]) -> None:
+        """Called with lines from the backend of an open connection."""
+        ...
+
+    def backend_lines_malformed(self, tunnel_id: int) -> None:
+        """Called if lines from the backend of an open connection can't be forwarded."""
+        ...
+
     def setup_over(
         self,
         tunnel_id: int,
@@ -53,11 +81,13 @@
         took: int,
         report: LoadReport | None,
         abrupt: bool,
-    ) -> None: ...
+    ) -> None:
+        """Called once, when a setup has failed or an open connection has ended."""
+        ...
 
 
 def read_report(text: bytes, reader: ReportReader) -> LoadReport | None:
-    """The load report that may end a line; one that is no list of figures is none."""
+    """Parses the load report that may end a line; returns None for anything but a list of numbers."""
     try:
         pairs = (pair.split("=", 1) for pair in text.decode("ascii").split(","))
         return reader({name: parse_finite(value) for name, value in pairs})
@@ -66,66 +96,74 @@
 
 
 class SingleProtocolFactory(Factory):
-    """Gives a connection its protocol. Twisted's connectProtocol makes a class for each call to do so."""
+    """Gives a connection the protocol that was made for it.
+
+    Twisted's connectProtocol does the same, but creates a class at each call.
+    """
 
     noisy = False
 
-    def __init__(self, link: IProtocol) -> None:
-        self.link = link
+    def __init__(self, protocol: IProtocol) -> None:
+        """`protocol` is the one for the only connection of this factory."""
+        self.protocol_instance = protocol
 
     def buildProtocol(self, _addr: IAddress) -> IProtocol:  # noqa: N802
-        return self.link
+        """Returns the protocol."""
+        return self.protocol_instance
 
 
 class BackendConnection(LineConnection):
-    """A connection that this relay opens. Whatever is opened ends in Link._release."""
+    """A connection that this relay opens. Established or not, it ends in LineConnection._release."""
 
     peer = "backend"
 
     def __init__(self, context: ConnectionContext, address: Address) -> None:
+        """Takes a slot; raises NoFreeSlotError if none is free. `connect` has to follow."""
         super().__init__(context)
         self.address = address
         self._connecting: Deferred | None = None
         self._next_try: Timer | None = None
 
     def connect(self, within: int, pending_reads_first: bool = True) -> None:
-        self.set_deadline(within, self._never_up, pending_reads_first)
-        self._begin()
+        """Starts to connect, for at most `within` ns."""
+        self.set_deadline(within, self._cancel_connect, pending_reads_first)
+        self._start_connect()
 
-    def _begin(self) -> None:
+    def _start_connect(self) -> None:
         self._next_try = None
         endpoint = TCP4ClientEndpoint(self.context.reactor, *self.address, timeout=None)
         self._connecting = endpoint.connect(SingleProtocolFactory(self))
-        self._connecting.addErrback(self._not_up)
+        self._connecting.addErrback(self._connect_failed)
 
-    def _never_up(self) -> None:
+    def _cancel_connect(self) -> None:
         if self._next_try is not None:
             self.context.timers.cancel(self._next_try)
-            self._failed()
+            self._never_connected()
         elif self._connecting is not None:
             self._connecting.cancel()
 
-    def _not_up(self, why: Failure) -> None:
-        if connect_not_attempted(why.value) and not self.ending:
-            # This machine lacked something for it: that says nothing of the backend, and may be over.
-            self._next_try = self.context.timers.after(TRY_AGAIN, self._begin)
+    def _connect_failed(self, failure: Failure) -> None:
+        if connect_not_attempted(failure.value) and not self.ending:
+            # A shortage on this machine says nothing about the backend, and may have passed soon.
+            self._next_try = self.context.timers.after(CONNECT_RETRY_DELAY, self._start_connect)
         else:
-            self._failed()
+            self._never_connected()
 
-    def _failed(self) -> None:
+    def _never_connected(self) -> None:
         self._next_try = None
         self._ended_by_peer(abrupt=True)
         self._release()
 
     def abort(self) -> None:
+        """Resets the connection at once, or stops connecting."""
         super().abort()
         if not self.up:
-            self._never_up()
+            self._cancel_connect()
 
 
 @implementer(IPullProducer)
 class SetupConnection(BackendConnection):
-    """One setup: the first line, the backend's answer to it, then the tunnel's backend end."""
+    """One setup: the client's first line, the backend's answer, then the lines of the open connection."""
 
     def __init__(
         self,
@@ -133,39 +171,43 @@
         tunnel_id: int,
         backend_id: int,
         address: Address,
-        head: Callable[[int], bytes],
+        line_for_backend: Callable[[int], bytes],
         timeout: int,
     ) -> None:
+        """`line_for_backend` returns the line for the backend, given how long the relay will wait, ns."""
         super().__init__(backends.context, address)
         self.backends = backends
         self.tunnel_id = tunnel_id
         self.backend_id = backend_id
-        self.head = head
+        self.line_for_backend = line_for_backend
         self.began = self.context.clock()
-        self.give_up = self.began + timeout
-        self.writing = self.written = self.opened = self.over = False
-        self.last: tuple[Outcome, LoadReport | None] | None = None
+        self.expires_at = self.began + timeout
+        self.writing = self.written = self.opened = self.reported = False
+        # From the backend's last line, if that announces the end of an open connection.
+        self.announced_end: tuple[Outcome, LoadReport | None] | None = None
 
     def on_connected(self) -> None:
-        left = self.give_up - self.context.clock()
-        if left <= 0 or not self.backends.watcher.may_send(self.tunnel_id, self.backend_id):
-            # The list may have told of a drain while this was connecting, and a send counts from its line.
+        """Asks for the first line to be written, or gives up if it may not be any more."""
+        left = self.expires_at - self.context.clock()
+        if left <= 0 or not self.backends.observer.may_send(self.tunnel_id, self.backend_id):
+            # The backend may have started to drain meanwhile: a request counts as sent when it is written.
             self.abort()
-            self._settle(Outcome.NOT_SENT)
+            self._report(Outcome.NOT_SENT)
             return
-        # The last setup's end is the client's answer, which is not put off.
-        spare = self.backends.watcher.client_time_left(self.tunnel_id) - left
-        self.set_deadline(left, self._too_late, pending_reads_first=spare > TURN)
-        # As a pull producer it is asked once for the line, and once more when the system has taken what it
-        # did not take at once.
+        # If the client has no time for another setup, the end of this one is its answer and is not put off.
+        spare = self.backends.observer.client_time_left(self.tunnel_id) - left
+        self.set_deadline(left, self._timed_out, pending_reads_first=spare > MAX_REACTOR_TURN)
+        # As a pull producer it is asked once for the line, and once more when the system has taken the part
+        # that it did not take at once.
         self.transport.registerProducer(self, False)
 
     def resumeProducing(self) -> None:  # noqa: N802
+        """Writes the first line, and notes when the system has taken all of it."""
         if not self.writing:
-            line = self.head(self.give_up - self.context.clock())
-            # Looked at last: where this process is paused in between, its client may leave meanwhile.
-            if self.backends.watcher.client_has_left(self.tunnel_id):
-                # Its end is read within this turn of the reactor, or the next, and this one called off then.
+            line = self.line_for_backend(self.expires_at - self.context.clock())
+            # Checked right before the write, as the client may leave while this process is paused.
+            if self.backends.observer.client_has_left(self.tunnel_id):
+                # The client's end is read in this turn of the reactor or the next, which cancels this setup.
                 self.transport.unregisterProducer()
                 return
             self.writing = True
@@ -175,150 +217,162 @@
         self.transport.unregisterProducer()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """The connection broke before the line was written; connectionLost says so."""
+        """Does nothing: the connection broke before the line was written, and connectionLost handles it."""
 
-    def _too_late(self) -> None:
-        # Ended before it is told: the next setup may go out in that very call, and never two at once.
+    def _timed_out(self) -> None:
+        # Aborted before the report, which may start the next setup: a client never has two at once.
         self.abort()
-        self._settle(Outcome.TIMEOUT)
+        self._report(Outcome.TIMEOUT)
 
     def lines_received(self, lines: list[bytes]) -> None:
+        """Handles the answer to the first line, and passes later lines to the observer."""
         if not self.written:
-            # No backend answers what it has not read: this line is nobody's, and the client's never ran.
-            self.protocol_error("an answer before the line was written")
+            # No backend answers what it has not read: this answer is not to the client's request, which has
+            # not run.
+            self.protocol_error("an answer before the request was written")
             return
         if not self.opened:
-            self._answered(lines.pop(0))
+            self._handle_answer(lines.pop(0))
         if lines and self.opened and not self.ending:
-            self.last = self._ends(lines[-1])
-            self.backends.watcher.backend_lines_received(self.tunnel_id, lines)
+            self.announced_end = self._parse_end(lines[-1])
+            self.backends.observer.backend_lines_received(self.tunnel_id, lines)
 
-    def _answered(self, line: bytes) -> None:
+    def _handle_answer(self, line: bytes) -> None:
         if line.partition(b" ")[0] == b"UP":
             self.opened = True
             self.clear_deadline()
-            self.backends.watcher.setup_opened(self.tunnel_id, line, self.context.clock() - self.began)
+            self.backends.observer.setup_opened(self.tunnel_id, line, self.context.clock() - self.began)
             return
-        # What none of the words fits is an error: it may have run.
-        outcome, report = self._ends(line) or (Outcome.ERROR, None)
+        # An unknown answer counts as an error, after which the request may have run.
+        outcome, report = self._parse_end(line) or (Outcome.ERROR, None)
         self.finish()
-        self._settle(outcome, report)
+        self._report(outcome, report)
 
-    def _ends(self, line: bytes) -> tuple[Outcome, LoadReport | None] | None:
+    def _parse_end(self, line: bytes) -> tuple[Outcome, LoadReport | None] | None:
         word, _, rest = line.partition(b" ")
-        outcome = LAST_WORDS.get(word)
+        outcome = OUTCOMES_BY_WORD.get(word)
         if outcome is None:
             return None
         return outcome, read_report(rest, self.backends.reader) if rest else None
 
     def drop_peer(self) -> None:
+        """Ends the setup; an open connection is left to the observer, as the backend still answers."""
         if self.opened:
-            # The backend still answers, so its client may not be cut off.
-            self.backends.watcher.backend_lines_malformed(self.tunnel_id)
+            # Its client must not be disconnected.
+            self.backends.observer.backend_lines_malformed(self.tunnel_id)
         else:
             super().drop_peer()
 
     def peer_closed(self, abrupt: bool) -> None:
+        """Reports the outcome: the announced one, or by how much of the first line was written."""
         if self.opened:
-            outcome, report = self.last or (Outcome.RESET, None)
+            outcome, report = self.announced_end or (Outcome.RESET, None)
         else:
             outcome, report = (Outcome.RESET if self.written else Outcome.CONNECT_FAILED), None
-        self._settle(outcome, report, abrupt)
+        self._report(outcome, report, abrupt)
 
     def cancel(self, abrupt: bool = False) -> None:
-        """Its client has left or was moved: it ends with no word to the watcher."""
-        self.over = True
+        """Ends without a report, because the client has left or was moved."""
+        self.reported = True
         if self.opened and not abrupt:
             self.finish()
         else:
             self.abort()
 
-    def _settle(self, outcome: Outcome, report: LoadReport | None = None, abrupt: bool = False) -> None:
-        if not self.over:
-            self.over = True
-            self.backends.watcher.setup_over(
+    def _report(self, outcome: Outcome, report: LoadReport | None = None, abrupt: bool = False) -> None:
+        if not self.reported:
+            self.reported = True
+            self.backends.observer.setup_over(
                 self.tunnel_id, self.backend_id, outcome, self.context.clock() - self.began, report, abrupt
             )
 
 
 class ProbeConnection(BackendConnection):
-    """The connection for one backend's probes, kept while it is used: a new one costs the backend more."""
+    """The connection for one backend's probes, kept while in use: a new one costs the backend more."""
 
     def __init__(self, backends: BackendConnector, backend_id: int, address: Address) -> None:
+        """Takes a slot; raises NoFreeSlotError if none is free."""
         super().__init__(backends.context, address)
         self.backends = backends
         self.backend_id = backend_id
-        self.out = self.again = False
-        self.kept = False  # it has answered before
-        self.asked_at = 0
-
-    def ask(self) -> None:
-        if self.out:
-            # One answer serves all who wait for it.
+        self.awaiting_answer = self.repeated = False
+        self.has_answered = False  # a probe on this connection was answered
+        self.sent_at = 0
+
+    def send_probe(self) -> None:
+        """Sends a probe, and connects first where necessary."""
+        if self.awaiting_answer:
+            # The answer to the probe that is already out serves this caller too.
             return
-        self.out = True
+        self.awaiting_answer = True
         if self.up:
             self._write()
         else:
             self.connect(self.backends.connect_within)
 
     def on_connected(self) -> None:
+        """Writes the probe for which the connection was opened."""
         self._write()
 
     def _write(self) -> None:
-        self.asked_at = self.context.clock()
+        self.sent_at = self.context.clock()
         self.set_deadline(self.backends.probe_timeout, self.drop_peer, pending_reads_first=True)
         self.send_line(self.backends.probe_word)
 
     def lines_received(self, lines: list[bytes]) -> None:
+        """Reports the answer, unless it was slow for the first time: then the probe is repeated."""
         word, _, rest = lines[0].partition(b" ")
-        if len(lines) > 1 or not self.out:
+        if len(lines) > 1 or not self.awaiting_answer:
             self.protocol_error("more answers than probes")
             return
-        self.kept = True
+        self.has_answered = True
         report = (read_report(rest, self.backends.reader) if rest else None) or LoadReport()
-        slower = self.backends.probe_latencies.slowdown(self.backend_id, self.context.clock() - self.asked_at)
-        if slower > 1 and not self.again:
-            # A short pause of the backend looks the same, and is over by then.
-            self.again = True
-            self.set_deadline(ASK_AGAIN, self._write)
+        slowdown = self.backends.probe_latencies.slowdown(
+            self.backend_id, self.context.clock() - self.sent_at
+        )
+        if slowdown > 1 and not self.repeated:
+            # A short pause of the backend looks the same, and has passed by the second probe.
+            self.repeated = True
+            self.set_deadline(PROBE_REPEAT_DELAY, self._write)
             return
-        self.out = self.again = False
-        self.set_deadline(self.backends.idle_timeout, self._idle)
-        if slower > 1 and report.offered_load is not None:
-            # The report is older than what the probe itself has met.
-            report = report._replace(offered_load=report.offered_load * slower)
-        self.backends.probe_over(self.backend_id, word == b"PONG", report)
-
-    def _idle(self) -> None:
+        self.awaiting_answer = self.repeated = False
+        self.set_deadline(self.backends.idle_timeout, self._close_idle)
+        if slowdown > 1 and report.offered_load is not None:
+            # The report is older than the delay that the probe itself has met.
+            report = report._replace(offered_load=report.offered_load * slowdown)
+        self.backends.on_probe_over(self.backend_id, word == b"PONG", report)
+
+    def _close_idle(self) -> None:
         self.backends.forget(self)
         self.finish()
 
     def drop_peer(self) -> None:
-        self.kept = False  # ended from here, for what the backend did or did not say
+        """Ends the connection, because of what the backend did or did not send; its probe has failed."""
+        self.has_answered = False
         super().drop_peer()
 
     def peer_closed(self, abrupt: bool) -> None:
+        """Reports a probe without an answer, or repeats it if the connection had been idle."""
         self.backends.forget(self)
-        if not self.out:
+        if not self.awaiting_answer:
             return
-        self.out = self.again = False
-        if self.kept:
-            # It was idle for longer than its backend bears, which closed it as the probe was on its way. That
-            # says nothing of the backend; taken for silence it called a sound one busy for two seconds.
+        self.awaiting_answer = self.repeated = False
+        if self.has_answered:
+            # The backend closed the connection as idle while the probe was on its way. That says nothing
+            # about its load; counted as silence it made a healthy backend look busy for two seconds.
             self.backends.probe(self.backend_id, self.address)
         else:
-            self.backends.probe_over(self.backend_id, False, LoadReport())
+            self.backends.on_probe_over(self.backend_id, False, LoadReport())
 
 
 class BackendConnector:
-    """Opens setups and probes, and knows the probe connections that are kept."""
+    """Opens setups and probes, and keeps the probe connections that are in use."""
 
     def __init__(
         self,
         context: ConnectionContext,
-        watcher: SetupObserver,
-        probe_over: ProbeOver,
+        observer: SetupObserver,
+        on_probe_over: ProbeCallback,
         reader: ReportReader,
         probe_latencies: ProbeLatencies,
         connect_within: int,
@@ -326,9 +380,10 @@
         idle_timeout: int,
         probe_word: bytes,
     ) -> None:
+        """Times are in ns: for a probe to connect, for its answer, and until an idle connection is closed."""
         self.context = context
-        self.watcher = watcher
-        self.probe_over = probe_over
+        self.observer = observer
+        self.on_probe_over = on_probe_over
         self.reader = reader
         self.probe_latencies = probe_latencies
         self.connect_within = connect_within
@@ -342,37 +397,40 @@
         tunnel_id: int,
         backend_id: int,
         address: Address,
-        head: Callable[[int], bytes],
+        line_for_backend: Callable[[int], bytes],
         timeout: int,
         connect_within: int,
     ) -> SetupConnection:
-        link = SetupConnection(self, tunnel_id, backend_id, address, head, timeout)
-        # Where it has no longer than that, its end may be the client's answer.
-        link.connect(min(connect_within, timeout), pending_reads_first=connect_within < timeout)
-        return link
+        """Starts a setup that ends within `timeout` ns. Raises NoFreeSlotError."""
+        connection = SetupConnection(self, tunnel_id, backend_id, address, line_for_backend, timeout)
+        # If the whole setup has no more time than the connect, its end may be the client's answer.
+        connection.connect(min(connect_within, timeout), pending_reads_first=connect_within < timeout)
+        return connection
 
     def probe(self, backend_id: int, address: Address) -> None:
-        link = self.probes.get(backend_id)
-        if link is not None and link.address != address:
-            self.forget(link)
-            link.abort()
-            link = None
-        if link is None:
+        """Probes a backend, on the connection that is kept for it unless its address has changed."""
+        connection = self.probes.get(backend_id)
+        if connection is not None and connection.address != address:
+            self.forget(connection)
+            connection.abort()
+            connection = None
+        if connection is None:
             try:
-                link = self.probes[backend_id] = ProbeConnection(self, backend_id, address)
+                connection = self.probes[backend_id] = ProbeConnection(self, backend_id, address)
             except NoFreeSlotError:
-                # Told later, as the module is in the midst of asking, and as no news: the want of a slot is
-                # this relay's, and the backend may not be called busy for it.
-                self.context.timers.after(0, self.probe_over, backend_id, True, LoadReport())
+                # Reported later, as the policy is in the middle of its call, and as an answer without a
+                # report: the missing slot is this relay's, and must not make the backend look busy.
+                self.context.timers.after(0, self.on_probe_over, backend_id, True, LoadReport())
                 return
-        link.ask()
+        connection.send_probe()
 
     def abort_probe(self, backend_id: int) -> None:
-        """Not even a second question on a connection that is there."""
-        link = self.probes.get(backend_id)
-        if link is not None:
-            link.drop_peer()
-
-    def forget(self, link: ProbeConnection) -> None:
-        if self.probes.get(link.backend_id) is link:
-            del self.probes[link.backend_id]
+        """Drops a backend's probe connection, so that a probe is not even repeated on it."""
+        connection = self.probes.get(backend_id)
+        if connection is not None:
+            connection.drop_peer()
+
+    def forget(self, connection: ProbeConnection) -> None:
+        """Stops using a probe connection for further probes."""
+        if self.probes.get(connection.backend_id) is connection:
+            del self.probes[connection.backend_id]
--- a/cedarledge/net/discovery.py
+++ b/cedarledge/net/discovery.py
@@ -1,4 +1,4 @@
-"""The list of backends: an HTTP/1.1 reader and the watch loop."""
+"""Follows discovery's list of backends: an HTTP/1.1 reader and the watch loop."""
 
 from __future__ import annotations
 
@@ -20,93 +20,101 @@
 from cedarledge.terms import MS, SECOND
 
 PATH = "/discovery/hosts"
-# No list comes near these; an answer past them is not read on.
-LONGEST_HEAD, LONGEST_BODY = 16 << 10, 8 << 20
-# What a silent watch misses counts as told 6 s after it fell silent, or 2 s past the wait of its call if that
-# is later. With waits no longer than this it is the 6 s, and the call is over and made anew before them. Each
-# is shorter by chance: all relays' calls begin with the same change, and would all be made anew together.
-LONGEST_WAIT, SHORTER = 4 * SECOND, 0.5
-# However soon the settings want it asked again: without a wait the two would go round as fast as they can.
-LEAST_WAIT = 400 * MS
-# How long past its wait a call may take: the answer stands in turn there. A whole list has no wait, and
-# discovery may keep a call in turn for some seconds before it fails it.
-PATIENCE, WHOLE_WITHIN = SECOND, 4 * SECOND
-CONNECT_WITHIN = 2 * SECOND
-# Where the list comes unasked, what stands beside this relay to tell it has it for this relay alone, and what
-# that has counts as told whether a call is out or not: a lost call is made again after so long.
-AGAIN = 100 * MS
-# Where it is asked for, a change counts as received 6 s after discovery had it and could be reached, whatever
-# calls failed before: however late the module would retry, the next call begins within this. Shorter by
-# chance, as all relays lose discovery together; the rest of the 6 s is for a call that stands in turn there.
+# Far above the size of any list. A larger response is not read any further.
+MAX_HEAD_BYTES, MAX_BODY_BYTES = 16 << 10, 8 << 20
+# A change that a silent watch misses counts as received 6 s after the watch fell silent, or 2 s past the
+# wait of its call if that is later. With waits of at most MAX_WAIT the 6 s apply, and the call ends and is
+# repeated before them. Each wait is shortened by a random part of up to WAIT_SPREAD: the calls of all relays
+# begin with the same change, and would otherwise all be repeated together.
+MAX_WAIT, WAIT_SPREAD = 4 * SECOND, 0.5
+# Lower bound for the interval that the settings ask for. Without a wait relay and discovery would exchange
+# calls and answers as fast as they can.
+MIN_WAIT = 400 * MS
+# How long past its wait a call may take, as its answer queues at discovery. A call for the whole list has no
+# wait, and discovery may queue it for some seconds before it fails it.
+ANSWER_GRACE, WHOLE_LIST_TIMEOUT = SECOND, 4 * SECOND
+CONNECT_TIMEOUT = 2 * SECOND
+# Where the list is pushed, the process beside this relay that serves it does so for this relay alone, and
+# what it has counts as received whether a call is open or not. A lost call is therefore repeated after this
+# time.
+PUSHED_RETRY_DELAY = 100 * MS
+# Where the list is requested, a change counts as received 6 s after discovery had it and could be reached,
+# whatever calls failed before. So the next call begins within this time, however late the policy would retry.
+# It is shortened at random, as all relays lose discovery together; the rest of the 6 s is for a call that
+# queues at discovery.
 RETRY_WITHIN = 4 * SECOND
-# Before what told nothing new is asked again. Discovery bears 200 ms between the calls of a watch.
-PAUSE = 150 * MS
+# Pause after an answer that brought nothing newer. Discovery allows 200 ms between the calls of a watch.
+STALE_ANSWER_PAUSE = 150 * MS
 
 
 class HttpError(Exception):
-    """An answer that is no HTTP/1.1, or none that can be used."""
+    """A response that is not HTTP/1.1, or can't be used."""
 
 
-class HttpAnswer(NamedTuple):
+class HttpResponse(NamedTuple):
+    """One response of discovery."""
+
     status: int
-    closes: bool
+    closes: bool  # the server closes the connection after it
     body: bytes
 
 
 class HttpReader:
-    """Reads one answer after the other from a stream: by length, in chunks, or up to the end."""
+    """Reads responses from a stream. A body has a length, comes in chunks, or extends to the stream's end."""
 
     def __init__(self) -> None:
+        """Starts in front of a response."""
         self._data = b""
-        self._read = self._head
+        self._read = self._read_head
         self._status = 0
         self._closes = False
         self._length = 0
         self._body: list[bytes] = []
         self._size = 0
 
-    def feed(self, data: bytes) -> HttpAnswer | None:
+    def feed(self, data: bytes) -> HttpResponse | None:
+        """Returns the response that the data completes, if any. Raises HttpError."""
         self._data += data
         while True:
             reader = self._read
-            answer = reader()
-            if answer is not None or self._read == reader:
-                return answer
+            response = reader()
+            if response is not None or self._read == reader:
+                return response
 
-    def end(self) -> HttpAnswer | None:
-        """The stream has ended, which ends an answer that gave no length."""
-        if self._read != self._to_the_end:
+    def end(self) -> HttpResponse | None:
+        """Returns the response that ends with the stream, if its body has neither length nor chunks."""
+        if self._read != self._until_closed:
             return None
-        return self._done()
+        return self._finish_response()
 
-    def _take(self, size: int) -> bytes:
-        taken, self._data = self._data[:size], self._data[size:]
-        return taken
+    def _consume(self, size: int) -> bytes:
+        consumed, self._data = self._data[:size], self._data[size:]
+        return consumed
 
-    def _line(self) -> bytes | None:
+    def _read_line(self) -> bytes | None:
         at = self._data.find(b"\r\n")
         if at < 0:
-            if len(self._data) > LONGEST_HEAD:
-                raise HttpError("a line without an end")
+            if len(self._data) > MAX_HEAD_BYTES:
+                raise HttpError("a line is too long")
             return None
-        return self._take(at + 2)[:-2]
+        return self._consume(at + 2)[:-2]
 
-    def _keep(self, data: bytes) -> None:
+    def _append_body(self, data: bytes) -> None:
         self._size += len(data)
-        if self._size > LONGEST_BODY:
-            raise HttpError("a body past all measure")
+        if self._size > MAX_BODY_BYTES:
+            raise HttpError("the body is too long")
         self._body.append(data)
 
-    def _head(self) -> HttpAnswer | None:
+    def _read_head(self) -> HttpResponse | None:
         end = self._data.find(b"\r\n\r\n")
-        if (end if end >= 0 else len(self._data)) > LONGEST_HEAD:
-            raise HttpError("a head past all measure")
+        if (end if end >= 0 else len(self._data)) > MAX_HEAD_BYTES:
+            raise HttpError("the head is too long")
         if end < 0:
             return None
-        first, *lines = self._take(end + 4)[:-4].decode("latin-1").split("\r\n")
+        first, *lines = self._consume(end + 4)[:-4].decode("latin-1").split("\r\n")
         version, _, rest = first.partition(" ")
         if not version.startswith("HTTP/1.") or not rest[:3].isdecimal():
-            raise HttpError(f"not an answer: {first[:60]!r}")
+            raise HttpError(f"not an HTTP/1 response: {first[:60]!r}")
         self._status = int(rest[:3])
         if 100 <= self._status < 200:
             return None
@@ -120,59 +128,59 @@
         self._body, self._size = [], 0
         length = fields.get("content-length")
         if "chunked" in fields.get("transfer-encoding", ""):
-            self._read = self._chunk_head
+            self._read = self._read_chunk_size
         elif length is not None:
-            if not length.isdecimal() or int(length) > LONGEST_BODY:
-                raise HttpError(f"no length: {length[:20]!r}")
+            if not length.isdecimal() or int(length) > MAX_BODY_BYTES:
+                raise HttpError(f"invalid Content-Length: {length[:20]!r}")
             self._length = int(length)
-            self._read = self._by_length
+            self._read = self._read_by_length
         elif self._status in (204, 304):
-            return self._done()
+            return self._finish_response()
         else:
             self._closes = True
-            self._read = self._to_the_end
+            self._read = self._until_closed
         return None
 
-    def _by_length(self) -> HttpAnswer | None:
+    def _read_by_length(self) -> HttpResponse | None:
         if len(self._data) < self._length:
             return None
-        self._keep(self._take(self._length))
-        return self._done()
+        self._append_body(self._consume(self._length))
+        return self._finish_response()
 
-    def _chunk_head(self) -> HttpAnswer | None:
-        line = self._line()
+    def _read_chunk_size(self) -> HttpResponse | None:
+        line = self._read_line()
         if line is not None:
             try:
                 self._length = int(line.partition(b";")[0], 16)
-            except ValueError as why:
-                raise HttpError(f"no chunk: {line[:20]!r}") from why
-            if not 0 <= self._length <= LONGEST_BODY:
-                raise HttpError("a chunk past all measure")
-            self._read = self._chunk if self._length else self._trailer
+            except ValueError as error:
+                raise HttpError(f"invalid chunk size: {line[:20]!r}") from error
+            if not 0 <= self._length <= MAX_BODY_BYTES:
+                raise HttpError("a chunk is too long")
+            self._read = self._read_chunk if self._length else self._read_trailer
         return None
 
-    def _chunk(self) -> HttpAnswer | None:
+    def _read_chunk(self) -> HttpResponse | None:
         if len(self._data) >= self._length + 2:
-            chunk = self._take(self._length + 2)
+            chunk = self._consume(self._length + 2)
             if chunk[-2:] != b"\r\n":
-                raise HttpError("a chunk past its length")
-            self._keep(chunk[:-2])
-            self._read = self._chunk_head
+                raise HttpError("a chunk is longer than its size")
+            self._append_body(chunk[:-2])
+            self._read = self._read_chunk_size
         return None
 
-    def _trailer(self) -> HttpAnswer | None:
-        while (line := self._line()) is not None:
+    def _read_trailer(self) -> HttpResponse | None:
+        while (line := self._read_line()) is not None:
             if not line:
-                return self._done()
+                return self._finish_response()
         return None
 
-    def _to_the_end(self) -> HttpAnswer | None:
-        self._keep(self._take(len(self._data)))
+    def _until_closed(self) -> HttpResponse | None:
+        self._append_body(self._consume(len(self._data)))
         return None
 
-    def _done(self) -> HttpAnswer:
-        self._read = self._head
-        return HttpAnswer(self._status, self._closes, b"".join(self._body))
+    def _finish_response(self) -> HttpResponse:
+        self._read = self._read_head
+        return HttpResponse(self._status, self._closes, b"".join(self._body))
 
 
 class DiscoveryConnection(Protocol):
@@ -181,50 +189,58 @@
     transport: Any
 
     def __init__(self) -> None:
+        """No call is in progress at first."""
         self._reader = HttpReader()
-        self._asked: Deferred[HttpAnswer] | None = None
+        self._response: Deferred[HttpResponse] | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
+        """Sends calls without delay."""
         self.transport.setTcpNoDelay(True)
 
-    def ask(self, host: str, target: str) -> Deferred[HttpAnswer]:
-        self._asked = Deferred()
+    def get(self, host: str, target: str) -> Deferred[HttpResponse]:
+        """Sends a GET request. The result fails with HttpError or the reason for the connection's end."""
+        self._response = Deferred()
         self.transport.write(
             f"GET {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode("ascii")
         )
-        return self._asked
+        return self._response
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Completes the call once its response is whole, or fails it."""
         try:
-            answer = self._reader.feed(data)
-        except HttpError as why:
+            response = self._reader.feed(data)
+        except HttpError as error:
             self.transport.abortConnection()
-            self._fail(why)
+            self._fail(error)
             return
-        if answer is not None:
-            self._succeed(answer)
+        if response is not None:
+            self._succeed(response)
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        answer = self._reader.end() if reason.check(ConnectionDone) else None
-        if answer is not None:
-            self._succeed(answer)
+        """Completes a response that ends with the connection, or fails the call."""
+        response = self._reader.end() if reason.check(ConnectionDone) else None
+        if response is not None:
+            self._succeed(response)
         else:
             self._fail(reason.value)
 
-    def _succeed(self, answer: HttpAnswer) -> None:
-        asked, self._asked = self._asked, None
-        if asked is not None:
-            asked.callback(answer)
+    def _succeed(self, response: HttpResponse) -> None:
+        pending, self._response = self._response, None
+        if pending is not None:
+            pending.callback(response)
 
-    def _fail(self, why: BaseException) -> None:
-        asked, self._asked = self._asked, None
-        if asked is not None:
-            asked.errback(why)
+    def _fail(self, error: BaseException) -> None:
+        pending, self._response = self._response, None
+        if pending is not None:
+            pending.errback(error)
 
 
 class Watch:
-    """Follows the list. Between the answers of a watch discovery bears a pause of 200 ms, so the next call
-    goes out in the very event that brought the last answer."""
+    """Follows the list by calls that discovery answers at the next change, or when their wait is over.
+
+    Discovery allows a pause of 200 ms between the calls of a watch, so the next call is sent in the same
+    event that brought the last answer.
+    """
 
     def __init__(
         self,
@@ -234,155 +250,168 @@
         revision: int,
         wait: int,
         pushed: bool,
-        chance: Callable[[], float],
-        told: Callable[[bool, list], None],
-        failed: Callable[[], None],
-        current: Callable[[], None] = lambda: None,
+        random: Callable[[], float],
+        on_update: Callable[[bool, list], None],
+        on_failure: Callable[[], None],
+        on_answer: Callable[[], None] = lambda: None,
     ) -> None:
-        """`pushed`: a lost call is made again here, soon. Else `failed` has others say when, by `start`, up
-        to RETRY_WITHIN. `current` is called after each answer, also one without news."""
+        """Follows the list from `revision` on once `start` is called; `wait` is the settings' interval in ns.
+
+        `on_update` gets whether the list is whole, and its members; it raises if they are invalid. With
+        `pushed` a failed call is repeated here after PUSHED_RETRY_DELAY. Otherwise `on_failure` lets the
+        policy choose when to call `start`, and RETRY_WITHIN is the limit. `on_answer` is called after each
+        valid answer, also one without changes.
+        """
         self._reactor = reactor
         self._timers = timers
         self._address = address
-        self._revision: int | None = revision  # None: the whole list is asked for
-        self._longest = max(LEAST_WAIT, min(wait or LONGEST_WAIT, LONGEST_WAIT))
+        self._revision: int | None = revision  # None: the whole list is requested
+        self._max_wait = max(MIN_WAIT, min(wait or MAX_WAIT, MAX_WAIT))
         self._pushed = pushed
-        self._chance = chance
-        self._told = told
-        self._failed = failed
-        self._current = current
-        self._link: DiscoveryConnection | None = None
+        self._random = random
+        self._on_update = on_update
+        self._on_failure = on_failure
+        self._on_answer = on_answer
+        self._connection: DiscoveryConnection | None = None
         self._call: Deferred | None = None
-        self._due: Timer | None = None
-        self._asked_at = self._wait = 0
-        # Of the calls since the last answer: whether one was silent, and whether one was lost.
-        self._was_silent = self._was_lost = False
+        self._timer: Timer | None = None
+        self._sent_at = self._wait = 0
+        # Whether a call since the last answer has timed out, and whether one has failed.
+        self._has_timed_out = self._has_failed = False
 
     def start(self) -> None:
+        """Sends a call unless one is in progress."""
         if self._call is None:
-            self._ask()
+            self._send_call()
 
     def set_address(self, address: Address) -> None:
-        """Follows the list at another address from now on, and from the whole list on: whether revisions
-        go on there is not known, and a change that neither place tells would be missed for good."""
+        """Follows the list at another address, beginning with the whole list.
+
+        Whether revisions continue there is unknown, and a change that neither address reports would be lost.
+        """
         if address != self._address:
             self._address = address
             self.resume_from(None)
 
     @property
     def revision(self) -> int | None:
-        """What is followed from here on; None: nothing that is known."""
+        """The revision from which changes are requested; None if the whole list is."""
         return self._revision
 
     def resume_from(self, revision: int | None) -> None:
-        """Another process has followed the list up to there."""
+        """Continues after another process has followed the list up to `revision`."""
         self.stop()
         self._revision = revision
-        self._was_silent = self._was_lost = False  # what was heard before says nothing of who is asked now
-        self._ask()
+        self._has_timed_out = self._has_failed = False  # these may have been calls to another address
+        self._send_call()
 
     def stop(self) -> None:
-        """Gives back the call and its connection, and tells nobody: the list is not lost."""
-        self._timers.cancel(self._due)
+        """Cancels the call and closes its connection. Nothing is reported, as the list is not lost."""
+        self._timers.cancel(self._timer)
         call, self._call = self._call, None
         if call is not None:
             call.cancel()
-        self._drop()
-
-    def _ask(self) -> None:
-        self._timers.cancel(self._due)
-        self._asked_at = self._timers.now()
-        self._wait = int(self._longest * (1 - SHORTER * self._chance()))
-        if self._link is None:
-            self._due = self._timers.after_pending_reads(CONNECT_WITHIN, self._hung)
+        self._disconnect()
+
+    def _send_call(self) -> None:
+        self._timers.cancel(self._timer)
+        self._sent_at = self._timers.now()
+        self._wait = int(self._max_wait * (1 - WAIT_SPREAD * self._random()))
+        if self._connection is None:
+            self._timer = self._timers.after_pending_reads(CONNECT_TIMEOUT, self._timed_out)
             endpoint = TCP4ClientEndpoint(self._reactor, *self._address, timeout=None)
             self._call = connectProtocol(endpoint, DiscoveryConnection()).addCallback(self._connected)
         else:
-            self._call = self._connected(self._link)
-        self._call.addCallback(self._answered).addErrback(self._lost)
-
-    def _connected(self, link: DiscoveryConnection) -> Deferred[HttpAnswer]:
-        self._link = link
-        self._timers.cancel(self._due)
-        # The answer may lie unread where this process was paused, and a drain in it counts as told.
-        self._due = self._timers.after_pending_reads(
-            WHOLE_WITHIN if self._revision is None else self._wait + PATIENCE, self._hung
+            self._call = self._connected(self._connection)
+        self._call.addCallback(self._handle_response).addErrback(self._call_failed)
+
+    def _connected(self, connection: DiscoveryConnection) -> Deferred[HttpResponse]:
+        self._connection = connection
+        self._timers.cancel(self._timer)
+        # After a pause of this process the answer may be unread, and a drain in it counts as received.
+        self._timer = self._timers.after_pending_reads(
+            WHOLE_LIST_TIMEOUT if self._revision is None else self._wait + ANSWER_GRACE, self._timed_out
         )
         target = (
             PATH
             if self._revision is None
             else (f"{PATH}?since={self._revision}&timeout_ms={self._wait // MS}")
         )
-        return link.ask("{}:{}".format(*self._address), target)
-
-    def _hung(self) -> None:
-        if self._link is not None and not self._was_silent:
-            # A call that says nothing past its time is broken, which is no sign of a discovery in trouble:
-            # that fails its calls. What was missed is about to count as told, so it is made anew at once,
-            # though only once. The call for the whole list too: SIGHUP to a silent address was asked again
-            # up to 10 s later.
-            logger.warning("discovery: the watch is silent, opened anew")
-            self._was_silent = True
+        return connection.get("{}:{}".format(*self._address), target)
+
+    def _timed_out(self) -> None:
+        if self._connection is not None and not self._has_timed_out:
+            # A call without an answer past its time is broken, which does not mean that discovery is in
+            # trouble: then it would fail its calls. Changes that were missed are about to count as received,
+            # so the call is repeated at once, but only once. That includes the call for the whole list: after
+            # a SIGHUP with a silent address it was repeated up to 10 s later.
+            logger.warning("discovery: the watch is silent, opening a new one")
+            self._has_timed_out = True
             self.stop()
-            self._ask()
+            self._send_call()
         elif self._call is not None:
             self._call.cancel()
 
-    def _answered(self, answer: HttpAnswer) -> None:
-        if answer.status != 200:
-            raise HttpError(f"status {answer.status}")
+    def _handle_response(self, response: HttpResponse) -> None:
+        if response.status != 200:
+            raise HttpError(f"status {response.status}")
         try:
-            news = json.loads(answer.body)
-            revision, whole, members = int(news["revision"]), bool(news["complete"]), list(news["members"])
+            data = json.loads(response.body)
+            revision, whole, members = int(data["revision"]), bool(data["complete"]), list(data["members"])
             newer = self._revision is None or revision > self._revision
             if newer or whole:
-                self._told(whole, members)
-        except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as why:
-            raise HttpError(f"not a list: {why!r}") from why
-        self._current()
-        self._timers.cancel(self._due)
-        self._was_silent = self._was_lost = False
-        early = self._timers.now() - self._asked_at < self._wait // 2
+                self._on_update(whole, members)
+        except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
+            raise HttpError(f"not a list: {error!r}") from error
+        self._on_answer()
+        self._timers.cancel(self._timer)
+        self._has_timed_out = self._has_failed = False
+        early = self._timers.now() - self._sent_at < self._wait // 2
         if newer or not (members or early):
             self._revision = revision
-            if answer.closes:
-                self._drop()
-            self._ask()
+            if response.closes:
+                self._disconnect()
+            self._send_call()
             return
-        # Nothing newer, and not for want of news: a revision that went back, or an answer given twice,
-        # behind which every later one would come a call late, and drains with it. What holds is asked for
-        # from the start, on a connection where no other answer is on its way; with a pause, or the two would
-        # go round as fast as they can.
-        logger.warning("discovery: revision {} after {}: out of step", revision, self._revision)
+        # The answer is not newer, although it has members or came early: a revision that went back, or a
+        # repeated answer, after which each later one would arrive one call late, with the drains in it. The
+        # current state is requested from the start, on a new connection where no other answer is on its way.
+        # Without a pause relay and discovery would exchange calls and answers as fast as they can.
+        logger.warning("discovery: revision {} after {}, out of sequence", revision, self._revision)
         self._revision = revision if whole else None
-        self._drop()
-        self._due = self._timers.after(PAUSE, self._ask)
+        self._disconnect()
+        self._timer = self._timers.after(STALE_ANSWER_PAUSE, self._send_call)
 
-    def _lost(self, why: Failure) -> None:
+    def _call_failed(self, failure: Failure) -> None:
         if self._call is None:
-            # By stop(), whose doing this is.
+            # Cancelled by stop().
             return
         self._call = None
         self.stop()
-        if connect_not_attempted(why.value):
-            # This machine lacked something for the connect: discovery was not asked.
-            self._due = self._timers.after(AGAIN, self._ask)
+        if connect_not_attempted(failure.value):
+            # This machine lacked something for the connect, so discovery was not contacted.
+            self._timer = self._timers.after(PUSHED_RETRY_DELAY, self._send_call)
             return
-        known, self._was_lost = self._pushed and self._was_lost, True
-        given_up = why.check(CancelledError, ConnectingCancelledError) is not None
-        self._due = self._timers.after(AGAIN if self._pushed else self._retry_delay(given_up), self._ask)
-        if not known:  # it would be told ten times a second
-            logger.warning("discovery: {}", "no answer in time" if given_up else why.getErrorMessage())
-            self._failed()
-
-    def _retry_delay(self, given_up: bool) -> int:
-        """How long until the next call at the latest. One that was given up has said nothing since it began:
-        discovery may have been back since then."""
-        spent = self._timers.now() - self._asked_at if given_up else 0
-        return max(AGAIN, int(RETRY_WITHIN * (1 - SHORTER * self._chance())) - spent)
-
-    def _drop(self) -> None:
-        """The one place where the connection is given back."""
-        link, self._link = self._link, None
-        if link is not None and link.connected:
-            link.transport.abortConnection()
+        reported, self._has_failed = self._pushed and self._has_failed, True
+        timed_out = failure.check(CancelledError, ConnectingCancelledError) is not None
+        self._timer = self._timers.after(
+            PUSHED_RETRY_DELAY if self._pushed else self._retry_delay(timed_out), self._send_call
+        )
+        if not reported:  # otherwise it would be reported ten times a second
+            logger.warning("discovery: {}", "no answer in time" if timed_out else failure.getErrorMessage())
+            self._on_failure()
+
+    def _retry_delay(self, timed_out: bool) -> int:
+        """Returns the longest time until the next call, ns.
+
+        A call that timed out has shown nothing since it began, so discovery may have been reachable again
+        since then; that time is subtracted.
+        """
+        spent = self._timers.now() - self._sent_at if timed_out else 0
+        return max(PUSHED_RETRY_DELAY, int(RETRY_WITHIN * (1 - WAIT_SPREAD * self._random())) - spent)
+
+    def _disconnect(self) -> None:
+        """Closes the connection; the only place where that is done."""
+        connection, self._connection = self._connection, None
+        if connection is not None and connection.connected:
+            connection.transport.abortConnection()
--- a/cedarledge/net/line_connection.py
+++ b/cedarledge/net/line_connection.py
@@ -1,4 +1,4 @@
-"""What every line connection has, whoever its peer is: a slot, a line buffer, and one way to end."""
+"""What every connection that carries lines has: a slot, a line buffer, and one way to end."""
 
 from __future__ import annotations
 
@@ -21,117 +21,130 @@
 from cedarledge.net.transient_errors import TRANSIENT_IO_ERRORS
 from cedarledge.terms import SECOND
 
-# How long the peer of a connection that was ended may take to read what is left and to end its side.
+# How long the peer may take to read the rest and to close its side, after this side has finished.
 LINGER = SECOND
-# How much more is read of it meanwhile. Past that its peer is not about to hear: it is still sending.
+# How much input is discarded meanwhile. A peer that sends more is not about to close.
 LINGER_BYTES = 64 << 10
-# How often the system is asked at most whether a peer has left.
-LOOKS = 5
+# How often the system is asked at most whether a peer has left, where its answer is a transient error.
+MAX_PEEKS = 5
 
 
 class ConnectionContext(NamedTuple):
-    """What all connections draw on."""
+    """What all line connections of a process share."""
 
     reactor: Any
     clock: Callable[[], int]
     timers: Timers
     pool: BufferPool
-    links: SlotTable[LineConnection]
+    connections: SlotTable[LineConnection]
     rate_limited_log: RateLimitedLog
     invariants: Invariants
 
 
 @implementer(IHalfCloseableProtocol)
 class LineConnection(Protocol):
-    """One connection. It takes its slot when it is made and gives it back in _release, there alone."""
+    """One connection. It takes its slot when it is created and gives it back in `_release` only."""
 
     transport: Any
     peer = ""  # what the log calls the other side
 
     def __init__(self, context: ConnectionContext) -> None:
+        """Takes a slot of the context. Raises NoFreeSlotError if none is free."""
         self.context = context
         self.lines = LineBuffer(context.pool)
         self.deadline: Timer | None = None
         self.up = self.ending = False
-        self.unheard = 0  # bytes that came after its end
+        self.discarded_bytes = 0  # received after this side has finished
         self.slot = context.connections.allocate(self)
 
-    # -- what the peers' files fill in -----------------------------------------------------------
+    # -- what the subclass for each kind of peer implements ------------------------------------------
 
     def on_connected(self) -> None:
-        """The connection stands."""
+        """Called when the connection is established."""
 
     def lines_received(self, lines: list[bytes]) -> None:
+        """Called with one or more whole lines, without their line ends."""
         raise NotImplementedError
 
     def peer_closed(self, abrupt: bool) -> None:
-        """The peer, or the network, has ended the connection."""
+        """Called when the peer or the network has ended the connection; `abrupt` if it was reset."""
         raise NotImplementedError
 
     def drop_peer(self) -> None:
-        """Ends a peer that can't be dealt with."""
+        """Ends the connection of a peer that can't be served."""
         self.abort()
         self.peer_closed(abrupt=True)
 
-    def protocol_error(self, why: str) -> None:
-        """The peer does not keep to the protocol."""
-        self.context.rate_limited_log.warn(self.peer, why)
+    def protocol_error(self, reason: str) -> None:
+        """Logs that the peer violated the protocol, and ends its connection."""
+        self.context.rate_limited_log.warn(self.peer, reason)
         self.drop_peer()
 
     # -- timers ----------------------------------------------------------------------------------
 
     def set_deadline(self, delay: int, call: Callable[[], None], pending_reads_first: bool = False) -> None:
-        """Sets the one timer that a connection has at a time; see Timers.after_pending_reads."""
+        """Sets or replaces the connection's only timer; `delay` is in ns.
+
+        With `pending_reads_first` it is set by Timers.after_pending_reads.
+        """
         timers = self.context.timers
         timers.cancel(self.deadline)
         self.deadline = (timers.after_pending_reads if pending_reads_first else timers.after)(delay, call)
 
     def clear_deadline(self) -> None:
+        """Cancels the connection's timer."""
         self.context.timers.cancel(self.deadline)
         self.deadline = None
 
     # -- sending and ending ----------------------------------------------------------------------
 
     def send_line(self, line: bytes) -> None:
+        """Sends one line by way of the reactor."""
         self.transport.write(line + END)
 
     def peer_has_left(self) -> bool:
-        """Whether its peer, who has only to wait, has ended it or said more, and that only lies unread: after
-        a pause of this process, or where the reactor comes to another connection first. An end may lie behind
-        what was said, and that is the end of it as well."""
-        for _ in range(LOOKS):
+        """Tells whether the peer, which has only to wait, has closed the connection or sent more data.
+
+        Either may have arrived without being read yet: after a pause of this process, or where the reactor
+        handles another connection first. Unread data counts as leaving, as the end may be queued after it.
+        """
+        for _ in range(MAX_PEEKS):
             try:
                 self.transport.socket.recv(1, socket.MSG_PEEK)
             except BlockingIOError:
                 return False
-            except OSError as why:
-                if why.errno in TRANSIENT_IO_ERRORS:
-                    continue  # the system could not say
+            except OSError as error:
+                if error.errno in TRANSIENT_IO_ERRORS:
+                    continue  # no information; ask again
             return True
         return False
 
     def send_lines(self, lines: list[bytes]) -> bool:
-        """Lines that go straight to the system where nothing waits before them: by way of the reactor each
-        would cost two changes of what it watches, and a turn of its own. What the system does not take now is
-        the transport's, and holds up the other side from there. Gives whether the system has all."""
+        """Sends lines directly to the system if no earlier data is queued, and tells whether it took all.
+
+        By way of the reactor they would cost two changes of its watched events and another turn. What the
+        system does not take now is queued in the transport, which then holds up reading from the other side.
+        """
         data = END.join((*lines, b""))
         transport = self.transport
-        # The transport's own buffers, by Twisted's names for them as of the version that is pinned.
+        # Private buffers of Twisted's transport, by their names in the pinned version.
         if not transport.dataBuffer and not transport._tempDataBuffer and self.up and not self.ending:
             try:
                 data = data[transport.socket.send(data) :]
-            except OSError as why:
-                if why.errno not in TRANSIENT_IO_ERRORS:
-                    # It is broken; the reactor finds out in its own way, and connectionLost says how.
+            except OSError as error:
+                if error.errno not in TRANSIENT_IO_ERRORS:
+                    # The connection is broken; the reactor will notice and call connectionLost.
                     return False
         if data:
             transport.write(data)
         return not data
 
     def finish(self) -> None:
-        """Ends it once all is written. Only the sending side is closed at first: closed at once, a line
-        that is still on its way here would make the system reset the connection, and the last answer with
-        it."""
+        """Ends the connection once everything is written.
+
+        Only the sending side is closed at first. If both were, a line still on its way here would make the
+        system reset the connection, and the last answer would be lost with it.
+        """
         if self.ending:
             return
         self.ending = True
@@ -139,21 +152,22 @@
             self.transport.unregisterProducer()
             self.transport.resumeProducing()
             self.transport.loseWriteConnection()
-            # Where this process is paused right here the last answer has not gone to the system yet.
+            # If this process is paused right here, the last answer has not been passed to the system yet.
             self.set_deadline(LINGER, self.abort, pending_reads_first=True)
         else:
             self.abort()
 
     def abort(self) -> None:
-        """Ends it now, and resets it."""
+        """Resets the connection at once."""
         self.ending = True
         self.clear_deadline()
         if self.up:
             self.transport.abortConnection()
 
-    # -- Twisted's side --------------------------------------------------------------------------
+    # -- called by Twisted -----------------------------------------------------------------------
 
     def connectionMade(self) -> None:  # noqa: N802
+        """Prepares the established connection."""
         self.up = True
         self.transport.setTcpNoDelay(True)
         # Twisted would ask the system for 64 KiB a read; the longest line is a sixteenth of that.
@@ -161,29 +175,32 @@
         self.on_connected()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Splits the input into lines, or discards it once the connection is ending."""
         if self.ending:
-            self.unheard += len(data)
-            if self.unheard > LINGER_BYTES:
+            self.discarded_bytes += len(data)
+            if self.discarded_bytes > LINGER_BYTES:
                 self.abort()
             return
         try:
             lines = self.lines.feed(data)
-        except (LineTooLongError, NoBufferError) as why:
-            self.protocol_error(str(why))
+        except (LineTooLongError, NoBufferError) as error:
+            self.protocol_error(str(error))
             return
         if lines:
             self.lines_received(lines)
 
     def readConnectionLost(self) -> None:  # noqa: N802
+        """Closes this side after the peer has closed its own."""
         self._ended_by_peer(abrupt=False)
         self.transport.unregisterProducer()
         self.transport.loseConnection()
         self.set_deadline(LINGER, self.abort, pending_reads_first=True)
 
     def writeConnectionLost(self) -> None:  # noqa: N802
-        """Closed by finish; the other half follows."""
+        """Does nothing: `finish` has closed the sending side, and the peer closes the other one."""
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
+        """Reports the end and gives back what the connection holds."""
         self._ended_by_peer(abrupt=reason.check(ConnectionDone) is None)
         self._release()
 
--- a/cedarledge/net/message_latency.py
+++ b/cedarledge/net/message_latency.py
@@ -1,4 +1,4 @@
-"""Times the lines of open tunnels: how long a message takes at a backend, and which get no answer."""
+"""Measures how long backends take to answer lines of open connections, and detects missing answers."""
 
 from __future__ import annotations
 
@@ -7,43 +7,50 @@
 from cedarledge.net.timers import Timer, Timers
 from cedarledge.terms import SECOND
 
-# A sound connection brings a line back at once. The page wants a silent one ended or moved within 7 s; the
-# client's seconds are lost from the first on.
+# A healthy connection brings a line back at once. The operators want a silent one ended or moved within 7 s,
+# but its client loses time from the first second on.
 SILENCE_LIMIT = 3 * SECOND
-TELL_EVERY = SECOND
+REPORT_INTERVAL = SECOND
 
 
 class LatencyReporter:
-    """Which backends one source last called slow. Each source has its own: lines that come back at once must
-    not call a backend quick whose report calls it slow, since they show hangs alone."""
+    """Reports backends whose messages are slow, from one source of delays.
 
-    def __init__(self, clock: Callable[[], int], slow: int, tell: Callable[[int, int], None]) -> None:
-        self.slow = slow  # 0: delays are not told
+    Each source has a reporter of its own. Lines that come back at once must not make a backend look fast
+    whose load report calls it slow, since lines only reveal a backend that hangs.
+    """
+
+    def __init__(self, clock: Callable[[], int], slow: int, report: Callable[[int, int], None]) -> None:
+        """Calls `report` with a backend and its delay in ns; delays from `slow` ns on count as slow."""
+        self.slow = slow  # 0: delays are not reported
         self._clock = clock
-        self._tell = tell
-        self._told: dict[int, tuple[int, int]] = {}  # when, and how slow
+        self._report = report
+        self._reported: dict[int, tuple[int, int]] = {}  # by slow backend: when, and with which delay
 
     def record(self, backend_id: int, delay: int) -> None:
-        """Tells of a slow message, once a second for a backend and whenever that is twice as slow as told
-        before, and of the first that is quick again."""
+        """Reports a slow message, and the first fast one after it.
+
+        While a backend stays slow it is reported once a second, and whenever its delay is twice the last one
+        that was reported.
+        """
         if not self.slow:
             return
         now = self._clock()
         if delay >= self.slow:
-            at, before = self._told.get(backend_id, (0, 0))
-            if now - at >= TELL_EVERY or delay >= 2 * before:
-                self._told[backend_id] = now, delay
-                self._tell(backend_id, delay)
-        elif self._told.pop(backend_id, None) is not None:
-            self._tell(backend_id, delay)
+            at, previous = self._reported.get(backend_id, (0, 0))
+            if now - at >= REPORT_INTERVAL or delay >= 2 * previous:
+                self._reported[backend_id] = now, delay
+                self._report(backend_id, delay)
+        elif self._reported.pop(backend_id, None) is not None:
+            self._report(backend_id, delay)
 
 
 class MessageTimers:
-    """What all tunnels' echoes share, and the lines of all that wait for their first look.
+    """What the response timers of all connections share, and the lines that wait for their first check.
 
-    Almost every line is answered long before that look. All wait equally long for it, so they are due in the
-    order in which they came: one deadline for the first of them stands for all, where one for each line was
-    the dearest thing that a line cost this relay.
+    Almost every line is answered long before that check. All wait equally long for it, so they are due in the
+    order in which they were sent, and one timer for the first of them serves all. A timer for each line was
+    the most expensive part of forwarding a line.
     """
 
     def __init__(
@@ -51,95 +58,102 @@
         clock: Callable[[], int],
         timers: Timers,
         delays: LatencyReporter,
-        tell_silent: Callable[[int], None],
+        on_silent: Callable[[int], None],
     ) -> None:
+        """`on_silent` is called with a connection whose line had no answer for SILENCE_LIMIT."""
         self.clock = clock
         self.timers = timers
         self.delays = delays
-        self.tell_silent = tell_silent
-        self._first = delays.slow or SILENCE_LIMIT
+        self.on_silent = on_silent
+        self._first_check = delays.slow or SILENCE_LIMIT
         self._waiting: dict[MessageTimer, int] = {}  # since when, the longest first
-        self._looks = False
+        self._check_scheduled = False
 
-    def waits(self, echo: MessageTimer, since: int) -> None:
-        self._waiting[echo] = since
-        if not self._looks:
-            self._looks = True
-            # Where this process was paused the answers lie unread, and all that it holds would be moved.
-            self.timers.after_pending_reads(self._first, self._look)
+    def add(self, timer: MessageTimer, since: int) -> None:
+        """Adds a timer whose line was sent at `since`, ns; it is checked unless it is discarded before."""
+        self._waiting[timer] = since
+        if not self._check_scheduled:
+            self._check_scheduled = True
+            # After a pause of this process the answers are still unread, and all its connections would move.
+            self.timers.after_pending_reads(self._first_check, self._check)
 
-    def waits_no_longer(self, echo: MessageTimer) -> None:
-        self._waiting.pop(echo, None)
+    def discard(self, timer: MessageTimer) -> None:
+        """Removes a timer that needs no check any more."""
+        self._waiting.pop(timer, None)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now = self.clock()
-        self._looks = False
-        due = [echo for echo, since in self._until(now - self._first)]
-        for echo in due:
-            del self._waiting[echo]
+        self._check_scheduled = False
+        due = [timer for timer, since in self._sent_until(now - self._first_check)]
+        for timer in due:
+            del self._waiting[timer]
         for since in self._waiting.values():
-            self._looks = True
-            self.timers.after_pending_reads(since + self._first - now, self._look)
+            self._check_scheduled = True
+            self.timers.after_pending_reads(since + self._first_check - now, self._check)
             break
-        for echo in due:
-            # One that is told of first may have ended another since.
-            if echo.is_waiting:
-                echo.overdue()
+        for timer in due:
+            # The report about an earlier one may have ended this one's connection.
+            if timer.is_waiting:
+                timer.check()
 
-    def _until(self, time: int) -> Iterator[tuple[MessageTimer, int]]:
-        for echo, since in self._waiting.items():
+    def _sent_until(self, time: int) -> Iterator[tuple[MessageTimer, int]]:
+        for timer, since in self._waiting.items():
             if since > time:
                 return
-            yield echo, since
+            yield timer, since
 
 
 class MessageTimer:
-    """The oldest line of one tunnel that has not been answered."""
+    """Times the oldest unanswered line of one connection."""
 
-    __slots__ = ("_asked_at", "_backend_id", "_due", "_echoes", "_tunnel_id")
+    __slots__ = ("_backend_id", "_next_check", "_sent_at", "_shared", "_tunnel_id")
 
-    def __init__(self, message_timers: MessageTimers, tunnel_id: int, backend_id: int) -> None:
-        self._echoes = message_timers
+    def __init__(self, shared: MessageTimers, tunnel_id: int, backend_id: int) -> None:
+        """Times the lines that one connection sends to its backend."""
+        self._shared = shared
         self._tunnel_id = tunnel_id
         self._backend_id = backend_id
-        self._asked_at = 0
-        self._due: Timer | None = None
+        self._sent_at = 0
+        self._next_check: Timer | None = None
 
     @property
     def is_waiting(self) -> bool:
-        return self._asked_at > 0
+        """Whether a line has no answer yet."""
+        return self._sent_at > 0
 
     def unanswered_for(self, now: int) -> int:
-        """How long its oldest line has had no answer, ns; 0: all were answered."""
-        return now - self._asked_at if self._asked_at else 0
+        """Returns for how long the oldest line has had no answer, ns; 0 if all were answered."""
+        return now - self._sent_at if self._sent_at else 0
 
     def line_sent(self) -> None:
-        if not self._asked_at:
-            self._asked_at = self._echoes.clock()
-            self._echoes.waits(self, self._asked_at)
+        """Starts to wait for an answer unless an earlier line is still waiting."""
+        if not self._sent_at:
+            self._sent_at = self._shared.clock()
+            self._shared.add(self, self._sent_at)
 
     def line_answered(self) -> None:
-        if self._asked_at:
-            delay = self._echoes.clock() - self._asked_at
+        """Stops waiting and records how long the answer took."""
+        if self._sent_at:
+            delay = self._shared.clock() - self._sent_at
             self.close()
-            self._echoes.delays.record(self._backend_id, delay)
+            self._shared.delays.record(self._backend_id, delay)
 
-    def overdue(self) -> None:
-        """No answer yet: the first look, and those after it."""
-        age = self._echoes.clock() - self._asked_at
+    def check(self) -> None:
+        """Handles a line that still has no answer, at its first check and at those that follow."""
+        age = self._shared.clock() - self._sent_at
         if age >= SILENCE_LIMIT:
-            self._echoes.tell_silent(self._tunnel_id)
+            self._shared.on_silent(self._tunnel_id)
             return
-        # A hang is told while it grows: a second later its clients have lost that second.
-        self._due = self._echoes.timers.after_pending_reads(
-            min(age, TELL_EVERY, SILENCE_LIMIT - age), self.overdue
+        # A growing delay is reported before it ends: a second later the clients have lost that second.
+        self._next_check = self._shared.timers.after_pending_reads(
+            min(age, REPORT_INTERVAL, SILENCE_LIMIT - age), self.check
         )
-        self._echoes.delays.record(self._backend_id, age)
+        self._shared.delays.record(self._backend_id, age)
 
     def close(self) -> None:
-        """The one place where what waits for its answer is given back."""
-        if self._due is not None:
-            self._echoes.timers.cancel(self._due)
-            self._due = None
-        self._echoes.waits_no_longer(self)
-        self._asked_at = 0
+        """Stops waiting; the only place where the pending checks are cancelled."""
+        if self._next_check is not None:
+            self._shared.timers.cancel(self._next_check)
+            self._next_check = None
+        self._shared.discard(self)
+        self._sent_at = 0
--- a/cedarledge/net/rate_limited_log.py
+++ b/cedarledge/net/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Log lines of which many may come: a few, and how many more there were."""
+"""Warnings that may come in large numbers: the first few are logged, the others are counted."""
 
 from __future__ import annotations
 
@@ -9,27 +9,31 @@
 from cedarledge.net.timers import Timers
 from cedarledge.terms import SECOND
 
-# So many lines a peer kind in each span: a peer that is turned away comes again at once, and a line for each
-# of its tries would cost more than turning it away, and hide all else in the log.
+# Lines that one category may write in a window. A rejected peer reconnects at once; a line for each of its
+# attempts would cost more than the rejection and hide everything else in the log.
 MAX_LINES, WINDOW = 5, 10 * SECOND
 
 
 class RateLimitedLog:
-    """Writes the first lines of each sort in a span, and then how many more there were."""
+    """Writes the first lines of each category in a window, and at its end how many were suppressed."""
 
     def __init__(self, timers: Timers) -> None:
+        """`timers` end the windows."""
         self._timers = timers
         self._counts: dict[str, int] = {}
 
-    def warn(self, peer: str, why: str | Callable[[], str]) -> None:
-        """`why` may be a call that gives the text, made only where a line is written."""
-        count = self._counts[peer] = self._counts.get(peer, 0) + 1
+    def warn(self, category: str, reason: str | Callable[[], str]) -> None:
+        """Logs a warning unless the category has used up its window.
+
+        `reason` may be a function that returns the text; it is called only if the line is written.
+        """
+        count = self._counts[category] = self._counts.get(category, 0) + 1
         if count == 1:
-            self._timers.after(WINDOW, self._sum_up, peer)
+            self._timers.after(WINDOW, self._log_suppressed, category)
         if count <= MAX_LINES:
-            logger.warning("{}: {}", peer, why if isinstance(why, str) else why())
+            logger.warning("{}: {}", category, reason if isinstance(reason, str) else reason())
 
-    def _sum_up(self, peer: str) -> None:
-        more = self._counts.pop(peer) - MAX_LINES
-        if more > 0:
-            logger.warning("{}: {} more such lines in {} s", peer, more, WINDOW // SECOND)
+    def _log_suppressed(self, category: str) -> None:
+        suppressed = self._counts.pop(category) - MAX_LINES
+        if suppressed > 0:
+            logger.warning("{}: {} more such lines in {} s", category, suppressed, WINDOW // SECOND)
--- a/cedarledge/net/reactor.py
+++ b/cedarledge/net/reactor.py
@@ -1,9 +1,9 @@
-"""The reactor of every process of this program: Twisted's on epoll, made to bear faults of the machine.
+"""The reactor of every process of this program: Twisted's epoll reactor, hardened against machine faults.
 
-- Twisted counts `callLater` by `time.time`, the wall clock. A step back of it by an hour holds up every
-  delayed call by an hour, while what sockets bring is still dealt with. Here the monotonic clock counts.
-- A call on a socket, or on epoll, that fails for want of memory ends the connection, or leaves it unwatched.
-  Here it is made again (transports.py, poller.py).
+- Twisted schedules `callLater` by `time.time`, the wall clock. If that is stepped back by an hour, every
+  delayed call comes an hour late, while socket events are still handled. Here the monotonic clock is used.
+- A call on a socket or on epoll that fails for lack of memory ends the connection, or leaves it unwatched.
+  Here it is retried (transports.py, poller.py).
 """
 
 from __future__ import annotations
@@ -23,21 +23,22 @@
 
 
 class WrongReactorError(Exception):
-    """Another reactor is installed already, and one process has only one."""
+    """Another reactor is already installed, and a process can have only one."""
 
 
 class MonotonicReactor(EPollReactor):
-    """An epoll reactor that neither the wall clock nor a shortage that passes brings out of step."""
+    """An epoll reactor that neither wall-clock steps nor passing shortages of the machine disturb."""
 
     seconds = staticmethod(time.monotonic)
 
     def installWaker(self) -> None:  # noqa: N802
-        # The first registration comes from here, in the base class's own start.
+        """Wraps the poller before its first registration, which the base class makes from here."""
         if not isinstance(self._poller, RetryingPoller):
             self._poller = RetryingPoller(self._poller)
         super().installWaker()
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Port:  # noqa: N802
+        """Opens a listener. Raises CannotListenError."""
         listening = Port(port, factory, backlog, interface, self)
         listening.startListening()
         return listening
@@ -50,11 +51,13 @@
         timeout: float = 30,
         bindAddress: Any = None,  # noqa: N803
     ) -> Connector:
+        """Starts to open a connection; `timeout` is in seconds."""
         connector = Connector(host, port, factory, timeout, bindAddress, self)
         connector.connect()
         return connector
 
     def adoptStreamPort(self, fileDescriptor: int, addressFamily: int, factory: Any) -> Any:  # noqa: N802, N803
+        """Listens on a socket that was inherited as a descriptor."""
         if addressFamily != socket.AF_INET:
             return super().adoptStreamPort(fileDescriptor, addressFamily, factory)
         listening = Port._fromListeningDescriptor(self, fileDescriptor, addressFamily, factory)
@@ -63,12 +66,17 @@
 
 
 def install_reactor() -> MonotonicReactor:
-    """The process's reactor, installed at the first call. Raises WrongReactorError where something has
-    imported `twisted.internet.reactor` before, which installs Twisted's default."""
+    """Returns the process's reactor and installs it at the first call.
+
+    Raises WrongReactorError if something imported `twisted.internet.reactor` before, which installs Twisted's
+    default.
+    """
     installed = sys.modules.get(REACTOR_MODULE)
     if installed is None:
         installed = MonotonicReactor()
         installReactor(installed)
     if not isinstance(installed, MonotonicReactor):
-        raise WrongReactorError(f"{type(installed).__name__} is installed, whose waits follow the wall clock")
+        raise WrongReactorError(
+            f"{type(installed).__name__} is already installed, and its delays follow the wall clock"
+        )
     return installed
--- a/cedarledge/net/transient_errors.py
+++ b/cedarledge/net/transient_errors.py
@@ -1,20 +1,20 @@
-"""Errors of system calls that say something of this machine for a moment, and nothing of the peer.
+"""Errors of socket system calls that this machine causes for a moment, and that say nothing about the peer.
 
-Linux documents them for calls on sockets. The same call may work when it is made again; the connection that
-it was made on stands as before.
+Linux documents them for calls on sockets. The same call may succeed when it is repeated, and the connection
+on which it failed stays usable.
 """
 
 from __future__ import annotations
 
 import errno
 
-# The machine or this process has too little of something.
+# The machine or this process is short of memory, buffers or descriptors.
 RESOURCE_ERRORS = frozenset((errno.ENOMEM, errno.ENOBUFS, errno.ENOSPC, errno.EMFILE, errno.ENFILE))
-# Of recv and send: nothing was taken or given.
+# Of recv and send: no data was transferred.
 TRANSIENT_IO_ERRORS = RESOURCE_ERRORS | {errno.EAGAIN, errno.EINTR}
-# Of connect: no local port or route was to be had, or a signal came first; the address was not tried.
+# Of connect: no local port or route was available, or a signal came first; the address was not contacted.
 NOT_ATTEMPTED_ERRORS = TRANSIENT_IO_ERRORS | {errno.EADDRNOTAVAIL, errno.ENETUNREACH}
-# Of accept: also errors that wait on the connection that would have been accepted (accept(2)).
+# Of accept: also the pending network errors of the connection that would have been accepted (accept(2)).
 TRANSIENT_ACCEPT_ERRORS = TRANSIENT_IO_ERRORS | {
     errno.ECONNABORTED,
     errno.EPERM,
@@ -31,5 +31,8 @@
 
 
 def connect_not_attempted(error: BaseException) -> bool:
-    """Whether a connect failed before its address was tried. `error` is Twisted's, with the system's."""
+    """Tells whether a connect failed before its address was contacted.
+
+    `error` is Twisted's exception, which carries the system's error number as `osError`.
+    """
     return getattr(error, "osError", None) in NOT_ATTEMPTED_ERRORS
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -1,4 +1,4 @@
-"""Backends that operators take out: nothing new goes there by any way, until the call back."""
+"""Bans of backends by operators: a banned backend gets nothing new by any path until it is readmitted."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 NAMES = "abcd"
 
 
-class Listed:
-    """A module under the test's host, which hears of the list as the relay's does."""
+class RegistryHarness:
+    """A policy under the test's host whose list comes from a BackendRegistry, as in the relay."""
 
     def __init__(self) -> None:
         self.host = host = RuleCheckingHost(make_settings())
@@ -40,7 +40,7 @@
             ),
         )
         self.registry = BackendRegistry(policy_host, SimpleNamespace(notify=lambda *_: None), {"dcs": ["z"]})
-        self.told(True, *[self.entry(name) for name in NAMES])
+        self.update(True, *[self.entry(name) for name in NAMES])
 
     def entry(self, name: str, phase: str = "up", started: int = 0) -> dict:
         return {
@@ -53,13 +53,13 @@
             "up_since_ms": started,
         }
 
-    def told(self, whole: bool, *members: dict) -> None:
+    def update(self, whole: bool, *members: dict) -> None:
         self.registry.update(whole, list(members))
 
     def ban(self, name: str) -> None:
         self.registry.ban(self.registry.find(name), self.host.now)
 
-    def put_back(self, name: str) -> None:
+    def unban(self, name: str) -> None:
         self.registry.unban(self.registry.find(name), self.host.now)
 
 
@@ -89,83 +89,85 @@
 )
 @settings(derandomize=True, deadline=None, max_examples=200)
 def test_nothing_new_goes_to_a_banned_backend_whatever_the_list_says(steps: list[tuple[str, str]]) -> None:
-    site = Listed()
-    host, boxes = site.host, site.boxes
+    harness = RegistryHarness()
+    host, registry = harness.host, harness.registry
     banned: set[str] = set()
-    for what, name in steps:
+    for action, name in steps:
         sends, probes = len(host.sends), len(host.probes)
-        if what == "ban":
-            site.ban(name)
+        if action == "ban":
+            harness.ban(name)
             banned.add(name)
-        elif what == "back":
-            site.put_back(name)
+        elif action == "back":
+            harness.unban(name)
             banned.discard(name)
-        elif what in ("up", "draining", "removed"):
-            site.told(False, site.entry(name, what))
-        elif what == "restarted":
-            site.told(False, site.entry(name, "up", host.now // MS))
-        elif what == "whole":
-            site.told(True, *[site.entry(other) for other in NAMES if other != name])
-        elif what == "aside":
-            boxes.set_excluded([name])
-        elif what == "wait":
+        elif action in ("up", "draining", "removed"):
+            harness.update(False, harness.entry(name, action))
+        elif action == "restarted":
+            harness.update(False, harness.entry(name, "up", host.now // MS))
+        elif action == "whole":
+            harness.update(True, *[harness.entry(other) for other in NAMES if other != name])
+        elif action == "aside":
+            registry.set_excluded([name])
+        elif action == "wait":
             host.run(SECOND)
         else:
             tun = host.arrive(key=name)
             if not host.requests[tun].answered:
-                # It fails there, and goes elsewhere as long as there is somewhere.
+                # The attempt fails, and the policy tries other backends as long as there are any.
                 host.end(tun, Outcome.FULL)
         new = host.sends[sends:]
-        assert not {boxes.backend_ids.names[ep] for _, _, ep in new} & banned
-        assert not {boxes.backend_ids.names[ep] for _, ep in host.probes[probes:]} & banned
-        # What is not banned, and up, is never lost by it.
+        assert not {registry.backend_ids.names[ep] for _, _, ep in new} & banned
+        assert not {registry.backend_ids.names[ep] for _, ep in host.probes[probes:]} & banned
+        # Only the banned backends are not ready; the others are not affected.
         for ep, entry in host.listing.items():
-            assert boxes.backend_ids.names[ep] not in banned or entry.state is not BackendState.READY
+            assert registry.backend_ids.names[ep] not in banned or entry.state is not BackendState.READY
 
 
-def test_a_ban_on_all_is_followed_where_a_list_of_all_to_set_aside_is_not() -> None:
-    site = Listed()
-    site.boxes.set_excluded(NAMES)
-    tun = site.host.arrive()
-    assert site.host.sends and not site.host.requests[tun].answered, "a slip, which would close the site"
+def test_a_ban_of_all_backends_is_obeyed_and_excluding_all_of_them_is_not() -> None:
+    harness = RegistryHarness()
+    harness.registry.set_excluded(NAMES)
+    tun = harness.host.arrive()
+    assert harness.host.sends and not harness.host.requests[tun].answered, (
+        "excluding all would stop all traffic, so it is taken for a mistake"
+    )
     for name in NAMES:
-        site.ban(name)
-    sends = len(site.host.sends)
-    tun = site.host.arrive()
-    assert site.host.requests[tun].answered and len(site.host.sends) == sends
-    site.put_back("b")
-    site.host.now += 11 * SECOND  # warm
-    assert site.host.arrive() >= 0 and [ep for _, _, ep in site.host.sends[sends:]] == [1]
-
-
-def test_one_that_comes_back_is_cold_and_forgotten_whatever_the_list_says() -> None:
-    site = Listed()
-    host, now = site.host, START
-    struck = host.balancer.state.backends[0]
-    struck.ejections, struck.ejected_until = 5, now + 100 * SECOND
-    site.ban("a")
+        harness.ban(name)
+    sends = len(harness.host.sends)
+    tun = harness.host.arrive()
+    assert harness.host.requests[tun].answered and len(harness.host.sends) == sends
+    harness.unban("b")
+    harness.host.now += 11 * SECOND  # warm
+    assert harness.host.arrive() >= 0 and [ep for _, _, ep in harness.host.sends[sends:]] == [1]
+
+
+def test_a_readmitted_backend_is_cold_and_without_history_whatever_the_list_says() -> None:
+    harness = RegistryHarness()
+    host, now = harness.host, START
+    ejected = host.balancer.state.backends[0]
+    ejected.ejections, ejected.ejected_until = 5, now + 100 * SECOND
+    harness.ban("a")
     host.now += 3 * SECOND
-    site.put_back("a")
+    harness.unban("a")
     member = host.balancer.state.backends[0]
     assert member.started_at == host.now and not member.ejections and member.reported < 0
-    # An old word of discovery does not make it warm, nor forget again what was learned since.
+    # An outdated entry of discovery neither makes it warm nor drops what was learned since.
     host.report(0, 0.3)
-    site.told(False, site.entry("a", "up", 5))
+    harness.update(False, harness.entry("a", "up", 5))
     assert member.started_at == host.now and member.reported == 0.3
     host.now += SECOND
-    site.told(False, site.entry("a", "up", host.now // MS))
-    assert member.started_at == host.now and member.reported < 0, "one more restart is one"
-    # Where the list has told of the restart while it was out, that is when it started.
-    site.ban("b")
+    harness.update(False, harness.entry("a", "up", host.now // MS))
+    assert member.started_at == host.now and member.reported < 0, "a later restart counts as a restart"
+    # If the list reported the restart during the ban, that is the start.
+    harness.ban("b")
     host.now += SECOND
-    at = host.now
-    site.told(False, site.entry("b", "up", at // MS))
+    started = host.now
+    harness.update(False, harness.entry("b", "up", started // MS))
     host.now += SECOND
-    site.put_back("b")
-    assert host.balancer.state.backends[1].started_at == at
+    harness.unban("b")
+    assert host.balancer.state.backends[1].started_at == started
 
 
-def test_its_clients_are_moved_and_it_gets_the_first_of_the_next(tmp_path: Path) -> None:
+def test_a_banned_backends_clients_are_moved_and_it_gets_new_ones_after_the_ban(tmp_path: Path) -> None:
     backends = [Backend("a"), Backend("b")]
     with running(tmp_path, *backends) as (relay, control):
         clients = [relay.client() for _ in range(12)]
@@ -175,26 +177,26 @@
         assert call(control, "POST", "/control/backends/a/offline") == 200
         assert call(control, "POST", "/control/backends/a/offline") == 200
         start = time.monotonic()
-        # The list says that it is there, in part and whole, and that it was started anew; so does SIGHUP's.
+        # The list reports it as up, by a change and whole, and as restarted; so does the list after a SIGHUP.
         relay.discovery.tell(backends[0].entry())
         relay.discovery.tell(backends[0].entry() | {"up_since_ms": int(time.time() * 1000)})
         relay.reload()
-        asked = len(backends[0].heads)
+        requests = len(backends[0].heads)
         assert all(relay.client().open(f"new{number}") == "UP r" for number in range(10))
         moved = 0
         while moved < held and time.monotonic() - start < 6:
             moved = sum(end == "ended" for end in backends[0].ends)
             time.sleep(0.05)
-        assert moved >= held and len(backends[0].heads) == asked
+        assert moved >= held and len(backends[0].heads) == requests
         assert call(control, "POST", "/control/backends/a/online") == 200
         start = time.monotonic()
-        while len(backends[0].heads) == asked and time.monotonic() - start < 5:
+        while len(backends[0].heads) == requests and time.monotonic() - start < 5:
             assert relay.client().open(f"back{time.monotonic()}") == "UP r"
             time.sleep(0.1)
-        assert len(backends[0].heads) > asked
+        assert len(backends[0].heads) > requests
 
 
-def test_a_ban_on_all_declines_and_probes_nobody(tmp_path: Path) -> None:
+def test_with_all_backends_banned_clients_are_rejected_and_nothing_is_probed(tmp_path: Path) -> None:
     backend = Backend("a")
     with running(tmp_path, backend) as (relay, control):
         assert relay.client().open() == "UP r"
@@ -204,26 +206,26 @@
         time.sleep(2.5)
         assert relay.client().open() == "BUSY"
         before = relay.client().open("k", "c=feed,d=4294967,at=a")
-        assert before == "ERR", "what was open there before, too"
-        assert seen == (len(backend.ends), len(backend.heads)), "neither tunnels nor probes"
+        assert before == "ERR", "a connection that was open there before is not served either"
+        assert seen == (len(backend.ends), len(backend.heads)), "neither connections nor probes"
         assert call(control, "POST", "/control/backends/a/online") == 200
 
 
-def test_what_is_being_connected_when_the_ban_comes_is_not_written() -> None:
-    site = Listed()
-    host = site.host
+def test_a_request_whose_connect_is_in_progress_at_the_ban_is_not_sent() -> None:
+    harness = RegistryHarness()
+    host = harness.host
     tun = host.arrive(key="k")
     ep = host.sends[-1][2]
-    site.ban(site.boxes.backend_ids.names[ep])
-    # The host asks once more before it writes (Tunnels.may_send), and says that it was not sent.
-    assert ep not in site.boxes.ready
+    harness.ban(harness.registry.backend_ids.names[ep])
+    # The host checks once more before it writes (Tunnels.may_send), and reports that it was not sent.
+    assert ep not in harness.registry.ready
     host.end(tun, Outcome.NOT_SENT)
     while tun in host.balancer.state.awaiting_probe:
         host.report(host.balancer.state.awaiting_probe[tun].backend_id, 0.1)
-    assert host.sends[-1][2] != ep, "it goes elsewhere"
+    assert host.sends[-1][2] != ep, "it is sent to another backend"
 
 
-def test_names_are_as_the_list_has_them(tmp_path: Path) -> None:
+def test_backend_names_in_calls_are_percent_decoded(tmp_path: Path) -> None:
     with running(tmp_path, Backend("a b/c")) as (_, control):
         answers = [
             call(control, "POST", f"/control/backends/{name}/offline")
--- a/tests/test_lint_clock.py
+++ b/tests/test_lint_clock.py
@@ -1,4 +1,4 @@
-"""Nothing waits or counts by a clock that can be set: who reads one, and which reactor runs."""
+"""No module waits or measures by a clock that can be set: checks its reads and the reactor in use."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from pathlib import Path
 
 PACKAGE = Path(__file__).parent.parent / "cedarledge"
-# Readings of the wall clock: `module.name`, or an attribute of a file's status.
+# Reads of the wall clock: `module.name`, or an attribute of a file's status.
 WALL_CLOCK = {("time", "time"), ("time", "time_ns"), ("datetime", "now"), ("datetime", "utcnow")}
 FILE_TIMES = {"st_mtime", "st_mtime_ns", "st_ctime", "st_ctime_ns", "st_atime", "st_atime_ns"}
-# Who may, and why: the relay's clock is set to Unix time once, the audit looks for steps, and a run is told
-# in Unix time when it begins.
+# Modules that may read it: the relay's clock is set to Unix time once, the audit detects steps, and a run
+# gets its beginning in Unix time.
 ALLOWED = {"net/timers.py", "net/audit.py", "rig/run.py"}
 REACTOR = "twisted.internet"
 
 
-def readings(tree: ast.AST) -> list[int]:
-    """Lines that read a clock that can be set."""
+def wall_clock_reads(tree: ast.AST) -> list[int]:
+    """Returns the lines that read a clock that can be set."""
     found = []
     for node in ast.walk(tree):
         if isinstance(node, ast.Attribute):
@@ -28,8 +28,8 @@
     return found
 
 
-def default_reactors(tree: ast.AST) -> list[int]:
-    """Lines that import Twisted's default reactor, whose waits follow the wall clock."""
+def default_reactor_imports(tree: ast.AST) -> list[int]:
+    """Returns the lines that import Twisted's default reactor, whose delays follow the wall clock."""
     found = []
     for node in ast.walk(tree):
         if isinstance(node, ast.ImportFrom) and node.module == REACTOR:
@@ -39,21 +39,23 @@
     return found
 
 
-def test_no_module_reads_a_clock_that_can_be_set_but_those_that_may() -> None:
-    seen = {}
+def test_only_allowed_modules_read_a_clock_that_can_be_set() -> None:
+    found_by_file = {}
     for path in sorted(PACKAGE.rglob("*.py")):
-        lines = readings(ast.parse(path.read_text()))
+        lines = wall_clock_reads(ast.parse(path.read_text()))
         if lines:
-            seen[str(path.relative_to(PACKAGE))] = lines
-    assert set(seen) == ALLOWED, seen
+            found_by_file[str(path.relative_to(PACKAGE))] = lines
+    assert set(found_by_file) == ALLOWED, found_by_file
 
 
-def test_no_module_runs_on_twisteds_default_reactor() -> None:
-    seen = {str(path): default_reactors(ast.parse(path.read_text())) for path in PACKAGE.rglob("*.py")}
-    assert not {path: lines for path, lines in seen.items() if lines}
+def test_no_module_imports_twisteds_default_reactor() -> None:
+    found_by_file = {
+        str(path): default_reactor_imports(ast.parse(path.read_text())) for path in PACKAGE.rglob("*.py")
+    }
+    assert not {path: lines for path, lines in found_by_file.items() if lines}
 
 
-def test_what_is_looked_for_is_found() -> None:
+def test_the_checks_find_what_they_look_for() -> None:
     code = "import time\nfrom time import time_ns\na = time.time()\nb = path.stat().st_mtime_ns\n"
-    assert sorted(readings(ast.parse(code))) == [2, 3, 4]
-    assert default_reactors(ast.parse("from twisted.internet import reactor")) == [1]
+    assert sorted(wall_clock_reads(ast.parse(code))) == [2, 3, 4]
+    assert default_reactor_imports(ast.parse("from twisted.internet import reactor")) == [1]
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The parts of the relay on sockets, each alone."""
+"""Unit tests of the relay's parts that use sockets and timers."""
 
 from __future__ import annotations
 
@@ -33,49 +33,49 @@
 from cedarledge.settings import ReportReader
 from cedarledge.terms import Outcome
 
-often = settings(derandomize=True, deadline=None, max_examples=200)
+many_examples = settings(derandomize=True, deadline=None, max_examples=200)
 
 
-def cut(data: bytes, places: list[int]) -> list[bytes]:
+def split(data: bytes, places: list[int]) -> list[bytes]:
     edges = sorted({place % (len(data) + 1) for place in places} | {0, len(data)})
     return [data[start:end] for start, end in pairwise(edges)]
 
 
-PLACES = st.lists(st.integers(0, 10_000), max_size=12)
+SPLIT_POSITIONS = st.lists(st.integers(0, 10_000), max_size=12)
 
 
 @given(
     lines=st.lists(st.binary(max_size=60).filter(lambda line: b"\r" not in line and b"\n" not in line)),
     rest=st.binary(max_size=20).filter(lambda rest: b"\r" not in rest),
-    places=PLACES,
+    places=SPLIT_POSITIONS,
 )
-@often
-def test_lines_come_out_whole_however_they_are_cut(
+@many_examples
+def test_lines_are_reassembled_however_the_stream_is_split(
     lines: list[bytes], rest: bytes, places: list[int]
 ) -> None:
     pool = BufferPool(BUFFER_SIZE, 1)
     reader = LineBuffer(pool)
     data = b"".join(line + b"\r\n" for line in lines) + rest
-    assert [line for part in cut(data, places) for line in reader.feed(part)] == lines
+    assert [line for part in split(data, places) for line in reader.feed(part)] == lines
     reader.close()
     assert pool.acquire() is not None, "the buffer was given back"
 
 
-def test_a_line_of_the_longest_length_passes_and_one_more_does_not() -> None:
+def test_a_line_of_maximum_length_is_accepted_and_a_longer_one_is_not() -> None:
     for size in (1, 1000, MAX_LINE_BYTES + 1):
         reader = LineBuffer(BufferPool(BUFFER_SIZE, 1))
         data = b"x" * MAX_LINE_BYTES + b"\r\n"
-        got = [
+        received = [
             line for start in range(0, len(data), size) for line in reader.feed(data[start : start + size])
         ]
-        assert got == [b"x" * MAX_LINE_BYTES]
+        assert received == [b"x" * MAX_LINE_BYTES]
         with raises(LineTooLongError):
             reader.feed(b"x" * (MAX_LINE_BYTES + 1) + b"\r\n")
         with raises(LineTooLongError):
             reader.feed(b"x" * (MAX_LINE_BYTES + 2))
 
 
-def test_buffers_run_out_and_are_used_again() -> None:
+def test_the_pool_is_limited_and_reuses_its_buffers() -> None:
     pool = BufferPool(8, 2)
     first, second = pool.acquire(), pool.acquire()
     with raises(NoBufferError):
@@ -85,8 +85,8 @@
 
 
 @given(steps=st.lists(st.integers(-3, 4), max_size=60))
-@often
-def test_a_late_handle_never_reaches_a_slots_next_holder(steps: list[int]) -> None:
+@many_examples
+def test_an_old_handle_never_reaches_the_next_holder_of_its_slot(steps: list[int]) -> None:
     slots: SlotTable[str] = SlotTable(3)
     held: dict[int, str] = {}
     past: list[int] = []
@@ -112,55 +112,55 @@
 
 
 @given(plan=st.lists(st.tuples(st.integers(0, 50), st.booleans(), st.integers(0, 9)), max_size=150))
-@often
-def test_deadlines_come_in_order_at_their_time_unless_cancelled(plan: list[tuple[int, bool, int]]) -> None:
+@many_examples
+def test_timers_fire_in_order_at_their_time_unless_cancelled(plan: list[tuple[int, bool, int]]) -> None:
     clock = Clock()
     timers = Timers(clock, lambda: int(clock.seconds()) * SECOND)
     due: list[tuple[int, int]] = []
-    got: list[tuple[int, int]] = []
+    fired: list[tuple[int, int]] = []
     for number, (delay, cancelled, pause) in enumerate(plan):
         at = int(clock.seconds()) + delay
-        deadline = timers.after(delay * SECOND, lambda at=at, number=number: got.append((at, number)))
+        timer = timers.after(delay * SECOND, lambda at=at, number=number: fired.append((at, number)))
         if cancelled:
-            timers.cancel(deadline)
-            timers.cancel(deadline)
+            timers.cancel(timer)
+            timers.cancel(timer)
         else:
             heappush(due, (at, number))
         clock.advance(pause)
         while due and due[0][0] <= clock.seconds():
-            assert got.pop(0) == heappop(due)
-        assert not got
-        assert len(clock.getDelayedCalls()) <= 1, "one reactor call for all"
+            assert fired.pop(0) == heappop(due)
+        assert not fired
+        assert len(clock.getDelayedCalls()) <= 1, "one reactor call for all timers"
     clock.advance(100)
-    assert got == sorted(due)
+    assert fired == sorted(due)
 
 
-def test_a_deadline_that_fails_takes_no_other_with_it() -> None:
-    clock, got = Clock(), []
+def test_a_timer_whose_call_fails_does_not_affect_others() -> None:
+    clock, fired = Clock(), []
     timers = Timers(clock, lambda: round(clock.seconds() * SECOND))
     timers.after(SECOND, lambda: 1 // 0)
-    timers.after(SECOND, got.append, "next")
+    timers.after(SECOND, fired.append, "next")
     clock.advance(1)
-    assert got == ["next"]
+    assert fired == ["next"]
 
 
-def test_what_gives_up_on_a_peer_is_put_off_once_where_this_process_was_late_itself() -> None:
-    clock, got = Clock(), []
+def test_a_timeout_is_put_off_once_if_the_process_itself_was_late() -> None:
+    clock, fired = Clock(), []
     timers = Timers(clock, lambda: round(clock.seconds() * SECOND))
-    timers.after_pending_reads(SECOND, got.append, "in time")
+    timers.after_pending_reads(SECOND, fired.append, "in time")
     clock.advance(1)
-    assert got == ["in time"]
-    timers.after_pending_reads(SECOND, got.append, "late")
-    timers.after(SECOND, got.append, "plain")
-    dropped = timers.after_pending_reads(SECOND, got.append, "answered meanwhile")
+    assert fired == ["in time"]
+    timers.after_pending_reads(SECOND, fired.append, "late")
+    timers.after(SECOND, fired.append, "plain")
+    cancelled = timers.after_pending_reads(SECOND, fired.append, "answered meanwhile")
     clock.advance(1.5)
-    assert got == ["in time", "plain"], "what has come may be read first"
-    timers.cancel(dropped)
+    assert fired == ["in time", "plain"], "pending input may be read first"
+    timers.cancel(cancelled)
     clock.advance(0.5)
-    assert got == ["in time", "plain", "late"], "once, however late the second look is"
+    assert fired == ["in time", "plain", "late"], "put off only once, however late it is the second time"
 
 
-def test_thousands_of_lines_that_wait_hang_on_one_deadline() -> None:
+def test_thousands_of_unanswered_lines_need_one_timer() -> None:
     clock = Clock()
 
     def now() -> int:
@@ -168,40 +168,42 @@
 
     timers, silent = Timers(clock, now), []
     message_timers = MessageTimers(now, timers, LatencyReporter(now, 0, lambda *_: None), silent.append)
-    lines = [MessageTimer(message_timers, tun, 0) for tun in range(3000)]
-    for echo in lines:
-        echo.line_sent()
+    message_timer_list = [MessageTimer(message_timers, tun, 0) for tun in range(3000)]
+    for timer in message_timer_list:
+        timer.line_sent()
         clock.advance(0.0005)
     assert len(timers) == 1
-    for echo in lines[:-2]:
-        echo.line_answered()
-    lines[-1].close()
+    for timer in message_timer_list[:-2]:
+        timer.line_answered()
+    message_timer_list[-1].close()
     clock.advance(SILENCE_LIMIT / SECOND)
-    clock.advance(0.002)  # a leap of the clock is a pause, after which what has come is read first
+    clock.advance(0.002)  # a jump of the clock looks like a pause, after which input is read first
     assert silent == [2998]
-    lines[-2].close()
+    message_timer_list[-2].close()
     clock.advance(SILENCE_LIMIT / SECOND)
-    clock.advance(0.002)  # a leap of the clock is a pause, after which what has come is read first
+    clock.advance(0.002)  # a jump of the clock looks like a pause, after which input is read first
     assert not len(timers)
     assert silent == [2998]
 
 
 class FakeTransport(StringTransport):
+    """A transport in memory with those methods of a socket's transport that the connections use."""
+
     dataBuffer, _tempDataBuffer = b"", ()  # noqa: N815
 
     def setTcpNoDelay(self, on: bool) -> None:  # noqa: N802
-        """As a socket's."""
+        """Does nothing here."""
 
     def unregisterProducer(self) -> None:  # noqa: N802
-        """As a socket's, which bears it where there is none."""
+        """Does nothing if no producer is registered, like a socket's transport."""
         self.producer = None
 
     def loseWriteConnection(self) -> None:  # noqa: N802
         self.disconnecting = True
 
 
-def set_up() -> tuple[MemoryReactorClock, list[Outcome]]:
-    """A setup whose connect is under way, and what comes of it."""
+def start_setup() -> tuple[MemoryReactorClock, list[Outcome]]:
+    """Starts a setup whose connect is in progress, and returns the list of its outcomes."""
     reactor, outcomes = MemoryReactorClock(), []
 
     def now() -> int:
@@ -211,7 +213,7 @@
     context = ConnectionContext(
         reactor, now, timers, BufferPool(BUFFER_SIZE, 4), SlotTable(4), RateLimitedLog(timers), Invariants()
     )
-    watcher = SimpleNamespace(
+    observer = SimpleNamespace(
         may_send=lambda *_: True,
         client_time_left=lambda _: 2 * SECOND,
         client_has_left=lambda _: False,
@@ -219,7 +221,7 @@
     )
     backends = BackendConnector(
         context,
-        watcher,
+        observer,
         lambda *_: None,
         ReportReader({}),
         ProbeLatencies(1),
@@ -232,29 +234,30 @@
     return reactor, outcomes
 
 
-def comes_up(reactor: MemoryReactorClock, takes: int = 99) -> tuple[Protocol, FakeTransport]:
-    """The system takes so many bytes of the line at once; the rest is the transport's."""
+def establish(reactor: MemoryReactorClock, takes: int = 99) -> tuple[Protocol, FakeTransport]:
+    """Completes the connect. The system takes `takes` bytes of the line; the transport keeps the rest."""
     link, transport = reactor.tcpClients[0][2].buildProtocol(None), FakeTransport()
     transport.socket = SimpleNamespace(send=lambda data: transport.write(data[:takes]) or len(data[:takes]))
     link.makeConnection(transport)
-    transport.producer.resumeProducing()  # as a socket's does, once it may be written to
+    transport.producer.resumeProducing()  # as a socket's transport does once it is writable
     return link, transport
 
 
-def test_a_connection_that_came_up_while_the_relay_was_paused_is_not_given_up() -> None:
-    reactor, outcomes = set_up()
+def test_a_connection_established_while_the_relay_was_paused_is_used() -> None:
+    reactor, outcomes = start_setup()
     reactor.advance(1)
-    assert not outcomes, "found late: what has come meanwhile is looked at first"
-    _, transport = comes_up(reactor)
+    assert not outcomes, "the timer is late, so that what has arrived meanwhile is handled first"
+    _, transport = establish(reactor)
     assert transport.value() == b"OPEN\r\n"
     reactor.advance(0.2)
     assert not outcomes
 
 
-def test_an_answer_before_the_line_was_written_is_nobodys() -> None:
-    """It was passed on, and the connection broke over it in this program: once-only tunnels ended as run."""
-    reactor, outcomes = set_up()
-    link, transport = comes_up(reactor, takes=3)
+def test_an_answer_before_the_request_was_written_is_rejected() -> None:
+    """Such an answer used to be forwarded, and the connection then failed inside the relay, so that requests
+    that are not idempotent were answered as if they had run."""
+    reactor, outcomes = start_setup()
+    link, transport = establish(reactor, takes=3)
     assert transport.value() == b"OPEN\r\n" and transport.producer is not None
     link.dataReceived(b"UP r\r\n")
     assert outcomes == [Outcome.CONNECT_FAILED] and transport.disconnected
@@ -269,19 +272,19 @@
         (0, False, Outcome.CONNECT_FAILED),
     ],
 )
-def test_a_reset_as_the_last_byte_is_written_counts_by_what_the_system_took(
+def test_the_outcome_of_a_reset_depends_on_whether_the_system_took_the_whole_line(
     takes: int, later: bool, outcome: Outcome
 ) -> None:
-    reactor, outcomes = set_up()
-    link, transport = comes_up(reactor, takes)
+    reactor, outcomes = start_setup()
+    link, transport = establish(reactor, takes)
     if later:
-        transport.producer.resumeProducing()  # all of it is taken
+        transport.producer.resumeProducing()  # the system takes the rest
     link.connectionLost(Failure(ConnectionLost()))
     assert outcomes == [outcome]
 
 
-def test_the_idle_limit_in_the_turn_of_the_next_probe_costs_a_connection_and_no_more() -> None:
-    reactor, told = MemoryReactorClock(), []
+def test_a_probe_connection_closed_at_its_idle_limit_does_not_fail_the_next_probe() -> None:
+    reactor, answered = MemoryReactorClock(), []
 
     def now() -> int:
         return round(reactor.seconds() * SECOND)
@@ -293,7 +296,7 @@
     backends = BackendConnector(
         context,
         SimpleNamespace(),
-        lambda *args: told.append(args[1]),
+        lambda *args: answered.append(args[1]),
         ReportReader({}),
         ProbeLatencies(1),
         150 * MS,
@@ -306,12 +309,12 @@
         link, transport = reactor.tcpClients[number][2].buildProtocol(None), FakeTransport()
         link.makeConnection(transport)
         link.dataReceived(b"PONG\r\n")
-        reactor.advance(1)  # idle for as long as it may be
+        reactor.advance(1)  # its idle limit
         assert transport.disconnecting and context.connections.used == 1 + number
-    # The backend, at the same limit, ends both as they are ended here.
+    # The backend has the same limit and closes both at the same time.
     for _, _, factory, *_ in reactor.tcpClients:
         factory.buildProtocol(None).connectionLost(Failure(ConnectionDone()))
-    assert told == [True, True] and not context.connections.used
+    assert answered == [True, True] and not context.connections.used
 
 
 CHUNKED = (
@@ -320,19 +323,19 @@
 )
 
 
-@given(bodies=st.lists(st.binary(max_size=40), max_size=3), places=PLACES)
-@often
-def test_answers_are_read_however_they_are_cut(bodies: list[bytes], places: list[int]) -> None:
-    reader, got = HttpReader(), []
-    for answer, body in ((CHUNKED, b"abcdefg"), *((http(body), body) for body in bodies)):
-        for part in cut(answer, places):
-            answered = reader.feed(part)
-            if answered is not None:
-                got.append((answered.status, answered.body == body))
-    assert got == [(200, True)] * (1 + len(bodies))
+@given(bodies=st.lists(st.binary(max_size=40), max_size=3), places=SPLIT_POSITIONS)
+@many_examples
+def test_responses_are_read_however_the_stream_is_split(bodies: list[bytes], places: list[int]) -> None:
+    reader, received = HttpReader(), []
+    for raw, body in ((CHUNKED, b"abcdefg"), *((http(body), body) for body in bodies)):
+        for part in split(raw, places):
+            response = reader.feed(part)
+            if response is not None:
+                received.append((response.status, response.body == body))
+    assert received == [(200, True)] * (1 + len(bodies))
 
 
-def test_an_answer_without_length_ends_with_its_connection() -> None:
+def test_a_response_without_length_ends_with_its_connection() -> None:
     reader = HttpReader()
     assert reader.feed(b"HTTP/1.0 200 OK\r\n\r\nab") is None and reader.feed(b"c") is None
     assert reader.end().body == b"abc"
@@ -342,13 +345,13 @@
 @given(
     noise=st.binary(min_size=1, max_size=80), start=st.sampled_from([b"", b"HTTP/1.1 200", http(b"")[:-2]])
 )
-@often
-def test_what_is_no_answer_raises_nothing_else(noise: bytes, start: bytes) -> None:
+@many_examples
+def test_an_invalid_response_raises_nothing_but_http_errors(noise: bytes, start: bytes) -> None:
     with suppress(HttpError):
         HttpReader().feed(start + noise + b"\r\n\r\n")
 
 
-def test_answers_past_all_measure_are_not_read_on() -> None:
+def test_oversized_and_malformed_responses_are_rejected() -> None:
     head, chunks, _ = CHUNKED.partition(b"4\r\n")
     for data in (
         b"x" * 20_000,
@@ -393,8 +396,8 @@
         ),
     )
 )
-@often
-def test_an_opening_is_read_or_malformed(line: bytes) -> None:
+@many_examples
+def test_an_open_line_is_parsed_or_malformed(line: bytes) -> None:
     try:
         open_request = parse_open_request(line)
     except MalformedError:
@@ -405,80 +408,82 @@
         and (open_request.client_timeout > 0 or open_request.previous_backend)
     )
     assert open_request.client_timeout < 10_000 * SECOND and len(open_request.group or "") < 999
-    assert open_request.load_hint in (None, 2.5, MAX_LOAD_HINT), "more would drown all learned loads"
+    assert open_request.load_hint in (None, 2.5, MAX_LOAD_HINT), (
+        "a larger hint would dominate all learned loads"
+    )
     head = open_request.line_for_backend(7 * MS)
     assert head == line if open_request.previous_backend else head.replace(b"d=7", b"d=40", 1) == line
 
 
-def test_a_heads_wait_is_changed_and_nothing_else() -> None:
+def test_the_line_for_a_backend_differs_in_its_timeout_only() -> None:
     line = b"OPEN 1 d=5,d=6 c=feed,dd=1,d=2000,g=d=9,x=1"
     assert parse_open_request(line).line_for_backend(80 * MS) == b"OPEN 1 d=5,d=6 c=feed,dd=1,d=80,g=d=9,x=1"
 
 
-def test_slow_lines_are_told_as_they_grow_then_their_end_and_silence_in_time() -> None:
-    clock, told, silent = Clock(), [], []
+def test_growing_delays_and_their_end_and_silence_are_reported() -> None:
+    clock, reports, silent = Clock(), [], []
     step = SECOND // 128  # a whole number of ns, and exact in the clock's floats
 
     def now() -> int:
         return int(clock.seconds() * SECOND)
 
-    def tell(ep: int, delay: int) -> None:
-        told.append((ep, delay))
+    def report(ep: int, delay: int) -> None:
+        reports.append((ep, delay))
 
-    reported = LatencyReporter(now, 3 * step, tell)
+    load_reports = LatencyReporter(now, 3 * step, report)
     message_timers = MessageTimers(
-        now, Timers(clock, now), LatencyReporter(now, 3 * step, tell), silent.append
+        now, Timers(clock, now), LatencyReporter(now, 3 * step, report), silent.append
     )
     clock.advance(10)
-    echo = MessageTimer(message_timers, 5, 3)
-    reported.record(3, SECOND)
-    echo.line_sent()
-    echo.line_answered()
-    assert told == [(3, SECOND)], "a quick line does not unsay what a report has said"
-    told.clear()
-    grown = [3 * step << times for times in range(7)]
-    for steps, news in ((2, []), (200, grown), (2, [2 * step])):
-        echo.line_sent()
+    timer = MessageTimer(message_timers, 5, 3)
+    load_reports.record(3, SECOND)
+    timer.line_sent()
+    timer.line_answered()
+    assert reports == [(3, SECOND)], "a fast line does not cancel a slow report"
+    reports.clear()
+    growing = [3 * step << times for times in range(7)]
+    for steps, expected in ((2, []), (200, growing), (2, [2 * step])):
+        timer.line_sent()
         for _ in range(steps):
             clock.advance(1 / 128)
-        echo.line_answered()
-        assert told == [(3, delay) for delay in news] and not silent
-        told.clear()
-    echo.line_sent()
+        timer.line_answered()
+        assert reports == [(3, delay) for delay in expected] and not silent
+        reports.clear()
+    timer.line_sent()
     for _ in range(5 * 128):
         clock.advance(1 / 128)
         assert bool(silent) == (clock.seconds() - 10 - 204 / 128 >= SILENCE_LIMIT / SECOND)
     assert silent == [5]
 
 
-def test_complaints_are_a_few_lines_and_a_count() -> None:
-    clock, said = Clock(), []
+def test_repeated_warnings_are_a_few_lines_and_a_count() -> None:
+    clock, logged = Clock(), []
     rate_limited_log = RateLimitedLog(Timers(clock, lambda: round(clock.seconds() * SECOND)))
-    sink = logger.add(said.append, format="{message}")
+    sink = logger.add(logged.append, format="{message}")
     for _ in range(2):
         for number in range(500):
             rate_limited_log.warn("client", f"bad line {number}")
-        rate_limited_log.warn("backend", "another kind has lines of its own")
+        rate_limited_log.warn("backend", "another category has a limit of its own")
         clock.advance(20)
     logger.remove(sink)
     assert (
-        len(said) == 2 * (MAX_LINES + 2)
-        and said[MAX_LINES + 1] == f"client: {500 - MAX_LINES} more such lines in 10 s\n"
+        len(logged) == 2 * (MAX_LINES + 2)
+        and logged[MAX_LINES + 1] == f"client: {500 - MAX_LINES} more such lines in 10 s\n"
     )
 
 
-def test_a_backend_is_slower_than_its_usual_and_than_the_others() -> None:
+def test_slowdown_is_relative_to_the_usual_time_and_to_other_backends() -> None:
     probe_latencies = ProbeLatencies(10 * MS)
     for ep in range(5):
         assert probe_latencies.slowdown(ep, (2 + ep) * MS) == 1.0
-    assert probe_latencies.slowdown(1, 12 * MS) == 1.0  # within what tells nothing
+    assert probe_latencies.slowdown(1, 12 * MS) == 1.0  # within the minimum excess
     assert 3.5 < probe_latencies.slowdown(1, 13 * MS + MS) < 5
     for ep in (0, 2, 3, 4):
         probe_latencies.slowdown(ep, 40 * MS)
-    assert probe_latencies.slowdown(1, 45 * MS) < 2  # a full fleet is slow everywhere
+    assert probe_latencies.slowdown(1, 45 * MS) < 2  # all are slow, so the fleet is loaded
 
 
-def test_an_opening_as_the_operators_page_shows_it() -> None:
+def test_an_open_line_as_in_the_operators_documentation() -> None:
     line = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59"
     open_request = parse_open_request(line)
     assert (
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""A relay whose system calls fail, or fall short, in ways that Linux documents and that pass."""
+"""A relay whose system calls fail or are incomplete for a moment, in ways that Linux documents."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from cedarledge.net.poller import RETRY_WITHIN, RetryingPoller
 
 CLIENTS = 60
-# Each kind of call by itself, then all at once; failures from 1 in 100 to 1 in 10.
+# Each kind of call alone, then all together; failure rates from 1 in 100 to 1 in 10.
 CASES = [(kind, (kind,), 0.1) for kind in KINDS] + [("all", KINDS, 0.01), ("all-often", KINDS, 0.1)]
 
 
@@ -27,25 +27,25 @@
     class FaultyProgram(RelayProgram):
         environment = faults.environment()
 
-    words: Counter[str] = Counter()
+    answers: Counter[str] = Counter()
     with FaultyProgram(tmp_path, [Backend("a"), Backend("b")]) as relay:
         for number in range(CLIENTS):
             client = relay.client()
             began = time.monotonic()
-            words[client.open(str(number))] += 1
-            assert time.monotonic() - began < 1.55, "an answer before the client gives up"
-            words[client.say("M 1")] += 1
+            answers[client.open(str(number))] += 1
+            assert time.monotonic() - began < 1.55, "the answer comes before the client times out"
+            answers[client.say("M 1")] += 1
             client.close()
         relay.terminate()
         assert relay.process.wait(8) == 0
         log = relay.log.read_text()
-    assert words == {"UP r": CLIENTS, "M 1": CLIENTS}
+    assert answers == {"UP r": CLIENTS, "M 1": CLIENTS}
     assert sum(faults.counts().values()) > 0
     assert "Traceback" not in log and "invariant broken:" not in log
 
 
-class ShortEpoll:
-    """An epoll object whose registrations fail with the errors that it is given, one each."""
+class FailingEpoll:
+    """An epoll object whose registrations fail with the given error numbers in turn; 0 succeeds."""
 
     def __init__(self, *errors: int) -> None:
         self.errors = list(errors)
@@ -67,8 +67,8 @@
         return []
 
 
-def test_a_registration_is_made_in_the_end_and_waits_are_short_until_then() -> None:
-    epoll = ShortEpoll(errno.ENOMEM, errno.ENOSPC)
+def test_a_failed_registration_is_retried_and_waits_are_short_until_it_succeeds() -> None:
+    epoll = FailingEpoll(errno.ENOMEM, errno.ENOSPC)
     poller = RetryingPoller(epoll)
     poller.register(7, 1)
     poller.poll(5.0, 9)
@@ -76,8 +76,8 @@
     assert epoll.watched == {7: 1} and epoll.waits == [RETRY_WITHIN, -1]
 
 
-def test_a_registration_that_was_given_up_is_not_made() -> None:
-    epoll = ShortEpoll(errno.ENOMEM)
+def test_a_pending_registration_is_dropped_when_the_descriptor_is_unregistered() -> None:
+    epoll = FailingEpoll(errno.ENOMEM)
     poller = RetryingPoller(epoll)
     poller.register(7, 1)
     poller.unregister(7)
@@ -85,8 +85,8 @@
     assert not epoll.watched and epoll.waits == [5.0]
 
 
-def test_a_change_that_fails_is_made_later_and_the_last_one_wins() -> None:
-    epoll = ShortEpoll(0, errno.ENOMEM, errno.ENOMEM)
+def test_of_failed_modifications_the_last_one_is_applied() -> None:
+    epoll = FailingEpoll(0, errno.ENOMEM, errno.ENOMEM)
     poller = RetryingPoller(epoll)
     poller.register(7, 1)
     poller.modify(7, 5)
@@ -95,11 +95,11 @@
     assert epoll.watched == {7: 4}
 
 
-def test_what_can_not_be_watched_keeps_nobody_else_from_being() -> None:
-    poller = RetryingPoller(ShortEpoll(errno.EPERM))
+def test_a_descriptor_that_can_not_be_watched_does_not_shorten_later_waits() -> None:
+    poller = RetryingPoller(FailingEpoll(errno.EPERM))
     with raises(OSError):
         poller.register(7, 1)
-    epoll = ShortEpoll(errno.ENOMEM, errno.EBADF)
+    epoll = FailingEpoll(errno.ENOMEM, errno.EBADF)
     poller = RetryingPoller(epoll)
     poller.register(7, 1)
     poller.poll(5.0, 9)
--- a/tests/test_terms_backends.py
+++ b/tests/test_terms_backends.py
@@ -1,4 +1,4 @@
-"""Backends that are killed right behind the accept of an attempt's connection."""
+"""Backends that are killed right after they accepted the connection of an attempt."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from pytest import mark
 from test_crossings import EFFECTS
 
-# Accepts one connection, says so, and reads nothing: what it was sent lies unread as it is killed.
-ACCEPTS = """
+# Accepts one connection, reports it, and reads nothing, so that the request is unread when it is killed.
+ACCEPTING_BACKEND = """
 import socket, sys, time
 listener = socket.socket(fileno=int(sys.argv[1]))
 link, _ = listener.accept()
@@ -23,23 +23,25 @@
 """
 
 
-@mark.parametrize(("name", "goes_on"), [("feed", True), ("mark", True), ("bill", False)])
-def test_a_backend_killed_behind_its_accept_costs_what_its_attempt_may_have_run(
-    name: str, goes_on: bool, tmp_path: Path
+@mark.parametrize(("name", "is_retried"), [("feed", True), ("mark", True), ("bill", False)])
+def test_only_requests_that_may_run_twice_are_retried_after_a_backend_is_killed_behind_its_accept(
+    name: str, is_retried: bool, tmp_path: Path
 ) -> None:
-    """Non-idempotent requests may have run there and are not attempted again; the others are. Seen to fail
-    with Outcome.RESET as CONNECT_FAILED in SetupConnection.peer_closed."""
+    """Requests that are not idempotent may have run there and are not attempted again; the others are.
+
+    The test fails with Outcome.RESET replaced by CONNECT_FAILED in SetupConnection.peer_closed.
+    """
     other = Backend("b")
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        told = other.entry() | {"id": "a", "host_port": "{}:{}".format(*listener.getsockname())}
+        entry = other.entry() | {"id": "a", "host_port": "{}:{}".format(*listener.getsockname())}
         killed = subprocess.Popen(
-            [sys.executable, "-c", ACCEPTS, str(listener.fileno())],
+            [sys.executable, "-c", ACCEPTING_BACKEND, str(listener.fileno())],
             pass_fds=[listener.fileno()],
             stdout=subprocess.PIPE,
         )
         listener.close()
         settings = EFFECTS | {"allowed": EFFECTS["allowed"] | {"probes": False}}
-        known = {"revision": 7, "complete": True, "members": [told, other.entry("draining")]}
+        known = {"revision": 7, "complete": True, "members": [entry, other.entry("draining")]}
         try:
             with RelayProgram(tmp_path, [other], settings=settings, known=known) as relay:
                 client = relay.client()
@@ -49,8 +51,8 @@
                 relay.discovery.tell(other.entry())
                 wait_until(lambda: len(relay.discovery.calls) > 1)
                 killed.send_signal(signal.SIGKILL)
-                assert client.read_line() == ("UP r" if goes_on else "ERR")
-                assert len(other.heads) == goes_on
+                assert client.read_line() == ("UP r" if is_retried else "ERR")
+                assert len(other.heads) == is_retried
         finally:
             with suppress(ProcessLookupError):
                 killed.kill()
--- a/tests/test_terms_discovery.py
+++ b/tests/test_terms_discovery.py
@@ -14,28 +14,28 @@
 from helpers import Backend, Discovery, RelayProgram, free_port, wait_until
 from test_crossings import PATIENT, PUSHED
 
-COUNTS_AFTER, DRAIN_GRACE = 6.0, 1.0
-# So long that no retry is early because of what the settings allow.
+RECEIVED_AFTER, DRAIN_GRACE = 6.0, 1.0
+# So long that the settings' interval makes no retry early.
 ASK_EVERY_US = 60_000_000
 Fault = Callable[[socket.socket, IO[bytes]], None]
 
 
 class FaultyDiscovery(Discovery):
-    """A discovery whose calls end by a fault until it is repaired."""
+    """A discovery whose calls end in a fault until it is repaired."""
 
     def __init__(self, members: list[dict]) -> None:
         super().__init__(members)
         self.fault: Fault | None = None
         self.faulted = 0
-        self.fillers = ExitStack()
-        # Below the ports that the system deals out: nobody takes it while nothing listens there.
+        self.queue_fillers = ExitStack()
+        # Outside the range of ephemeral ports, so that nobody takes it while nothing listens there.
         self.close_listener()
         self.port = free_port()
         self.address = f"127.0.0.1:{self.port}"
         self.open_listener()
 
     def _accept(self) -> None:
-        listener = self.socket  # and none that follows it
+        listener = self.socket  # this listener, not a later one
         with suppress(OSError):
             while True:
                 link, _ = listener.accept()
@@ -59,25 +59,25 @@
         self.fault = fault
         self.reset_watches()
 
-    def refuse(self) -> None:
+    def refuse_connections(self) -> None:
         self.close_listener()
         self.reset_watches()
 
     def leave_connects_unanswered(self) -> None:
         self.close_listener()
-        self.socket = self.fillers.enter_context(socket.socket())
+        self.socket = self.queue_fillers.enter_context(socket.socket())
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.bind(("127.0.0.1", self.port))
         self.socket.listen(0)
-        for _ in range(3):  # more than the system's queue takes
-            filler = self.fillers.enter_context(socket.socket())
-            filler.setblocking(False)
-            filler.connect_ex(self.socket.getsockname())
+        for _ in range(3):  # more than the system's accept queue holds
+            queue_filler = self.queue_fillers.enter_context(socket.socket())
+            queue_filler.setblocking(False)
+            queue_filler.connect_ex(self.socket.getsockname())
         self.reset_watches()
 
     def repair(self) -> None:
         self.fault = None
-        self.fillers.close()
+        self.queue_fillers.close()
         self.close_listener()
         self.open_listener()
 
@@ -96,7 +96,7 @@
 
 
 def close_unread(link: socket.socket, lines: IO[bytes]) -> None:
-    """Accepted and closed."""
+    """Closes the accepted connection without reading."""
 
 
 def answer_error(link: socket.socket, lines: IO[bytes]) -> None:
@@ -106,7 +106,7 @@
 
 def answer_error_late(link: socket.socket, lines: IO[bytes]) -> None:
     read_call(lines)
-    time.sleep(1.9)  # in turn for nearly as long as a call may be
+    time.sleep(1.9)  # queued for nearly as long as a call may be
     link.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
 
@@ -127,25 +127,28 @@
 
 
 def fall_silent(discovery: FaultyDiscovery) -> None:
-    """The open watch says nothing more, and no call after it."""
+    """Neither the open watch nor any call after it is answered."""
     discovery.fault = never_answer
     discovery.fall_silent()
 
 
 class Case(NamedTuple):
-    """A way for calls to fail, and when discovery can be reached again: after so many failures that the relay
-    has logged, or right after it has taken so many calls that it never answers."""
+    """A way for calls to fail, and when discovery can be reached again.
+
+    That is after `logged` failures in the relay's log, or right after discovery has taken `taken` calls that
+    it never answers.
+    """
 
     name: str
     begin: Callable[[FaultyDiscovery], None]
     logged: int = 0
     taken: int = 0
     settings: dict = PATIENT
-    moves: bool = False
+    changes_address: bool = False
 
 
 CASES = [
-    Case("connection refused", FaultyDiscovery.refuse, logged=3),
+    Case("connection refused", FaultyDiscovery.refuse_connections, logged=3),
     Case("connection closed unread", break_by(close_unread), logged=3),
     Case("HTTP error", break_by(answer_error), logged=3),
     Case("HTTP error late", break_by(answer_error_late), logged=3),
@@ -153,8 +156,8 @@
     Case("call unanswered", break_by(never_answer), taken=2),
     Case("answer without end", break_by(never_finish), taken=2),
     Case("watch fallen silent", fall_silent, taken=1),
-    Case("moved by SIGHUP", FaultyDiscovery.refuse, logged=3, moves=True),
-    Case("pushed, connection refused", FaultyDiscovery.refuse, logged=1, settings=PUSHED),
+    Case("moved by SIGHUP", FaultyDiscovery.refuse_connections, logged=3, changes_address=True),
+    Case("pushed, connection refused", FaultyDiscovery.refuse_connections, logged=1, settings=PUSHED),
     Case("pushed, call unanswered", break_by(never_answer), taken=2, settings=PUSHED),
 ]
 
@@ -163,22 +166,24 @@
     return relay.log.read_text().count("WARNING discovery")
 
 
-def place_newcomers(relay: RelayProgram) -> list[str]:
-    """Their answers. They stay, so that all backends that may be chosen are. On a busy machine some are
-    rejected: a backend whose probe is late is passed over."""
+def open_clients(relay: RelayProgram) -> list[str]:
+    """Opens clients and returns their answers. They stay open, so that every eligible backend gets some.
+
+    On a busy machine some are rejected, because a backend whose probe is late is not chosen.
+    """
     with ExitStack() as staying:
         clients = [staying.enter_context(closing(relay.client())) for _ in range(12)]
         return [client.open(f"{time.monotonic_ns()}", "c=feed,d=6000") for client in clients]
 
 
 def run_case(case: Case, relay: RelayProgram, discovery: FaultyDiscovery) -> None:
-    """Drains a backend as discovery can be reached again, right after a call has failed."""
+    """Drains a backend when discovery can be reached again, right after a call has failed."""
     wait_until(lambda: discovery.calls)
     case.begin(discovery)
     wait_until(lambda: failures_logged(relay) >= case.logged and discovery.faulted >= case.taken, 40)
-    if case.moves:
+    if case.changes_address:
         other = FaultyDiscovery(discovery.members)
-        other.refuse()
+        other.refuse_connections()
         relay.reload(discovery=other.address)
         wait_until(lambda: failures_logged(relay) > case.logged, 40)
         discovery = other
@@ -187,19 +192,22 @@
     discovery.tell(drained.entry("draining"))
     discovery.repair()
     reachable = time.monotonic()
-    time.sleep(COUNTS_AFTER + DRAIN_GRACE)
+    time.sleep(RECEIVED_AFTER + DRAIN_GRACE)
     placed = len(drained.heads)
-    answers = place_newcomers(relay)
-    assert len(drained.heads) == placed, "placed on a draining backend"
-    assert "UP r" in answers, f"nobody was placed: {answers}"
-    assert any(at > reachable for at in discovery.answered), "discovery was not asked again"
+    answers = open_clients(relay)
+    assert len(drained.heads) == placed, "clients were placed on a draining backend"
+    assert "UP r" in answers, f"no client was placed: {answers}"
+    assert any(at > reachable for at in discovery.answered), "discovery was not called again"
+
 
+def test_a_drain_is_obeyed_in_time_whatever_calls_have_failed_before(tmp_path: Path) -> None:
+    """Runs all cases in parallel, as each waits for most of its time.
 
-def test_a_drain_is_followed_in_time_whatever_calls_have_failed_before(tmp_path: Path) -> None:
-    """All cases side by side, as each waits for most of its time. Retries that doubled up to the time that
-    the settings allow for asking came up to 90 s after discovery could be reached: without
-    Watch._retry_delay all cases that ask fail. Pushed lists were sound: both fail with AGAIN at 30 s and
-    without _failed() in Watch._lost, behind which stands the module's own retry."""
+    Retries whose delay doubled up to the interval of the settings came up to 90 s after discovery could be
+    reached. Without Watch._retry_delay all cases without pushed lists fail. Pushed lists were not affected:
+    both cases fail with PUSHED_RETRY_DELAY at 30 s and without _on_failure() in Watch._call_failed, which
+    makes the policy retry.
+    """
     with ExitStack() as relays, ThreadPoolExecutor(len(CASES)) as runs:
         running = []
         for number, case in enumerate(CASES):
--- a/tests/test_terms_limits.py
+++ b/tests/test_terms_limits.py
@@ -1,4 +1,4 @@
-"""Limits: idle clients that hold the descriptors, relays that start at once, fleets past a thousand."""
+"""Limits: idle clients that occupy the descriptors, and probe connections that a backend closes."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from test_net import FakeTransport
 from test_terms_discovery import (
     ASK_EVERY_US,
-    COUNTS_AFTER,
     DRAIN_GRACE,
+    RECEIVED_AFTER,
     FaultyDiscovery,
     close_unread,
 )
@@ -37,12 +37,14 @@
 from cedarledge.settings import ReportReader
 
 SOCKETS = 160
-HELD_BY_IDLE = 60  # what the relay's own reserves leave of these for clients that ask for nothing
+IDLE_CONNECTIONS = 60  # what the relay's reserves leave of these for idle clients
 
 
 class ProbedBackend(Backend):
-    """Counts the connections that bring a probe, and closes each behind its answer: the next takes a
-    descriptor of its own."""
+    """Counts the connections that bring a probe, and closes each after its answer.
+
+    So the relay needs a new descriptor for each probe.
+    """
 
     def __init__(self, name: str) -> None:
         self.probed = 0
@@ -59,7 +61,7 @@
 
 @contextmanager
 def idle_clients(relay: RelayProgram, count: int) -> Iterator[None]:
-    """So many connections that say nothing or no more than PING; who is turned out comes again."""
+    """Keeps `count` connections open that send nothing; a connection that is closed is replaced."""
     done = threading.Event()
     links: list[socket.socket] = []
 
@@ -97,9 +99,9 @@
 
 
 def open_at_once(relay: RelayProgram) -> Client:
-    """One that connected and asked for nothing for a while would be one of the idle."""
+    """Opens a client at once, since one that sends nothing for a while would count as idle."""
     client = relay.client()
-    assert client.open(f"{time.monotonic_ns()}", "c=feed,d=15000") == "UP r", "an attempt has its descriptor"
+    assert client.open(f"{time.monotonic_ns()}", "c=feed,d=15000") == "UP r", "an attempt gets its descriptor"
     return client
 
 
@@ -107,16 +109,18 @@
     return len(list(Path(f"/proc/{relay.process.pid}/fd").iterdir()))
 
 
-def test_idle_clients_leave_descriptors_for_all_that_the_relay_opens_itself(tmp_path: Path) -> None:
-    """Discovery is down meanwhile, and is heard as it returns. Seen to fail with EVICTION_FREE_SLOTS
-    and REFUSAL_FREE_SLOTS at 0."""
+def test_idle_clients_leave_descriptors_for_the_relays_own_connections(tmp_path: Path) -> None:
+    """Discovery is down meanwhile, and is followed once it is back.
+
+    The test fails with EVICTION_FREE_SLOTS and REFUSAL_FREE_SLOTS at 0.
+    """
     control = free_address()
     backends = [ProbedBackend("a"), ProbedBackend("b")]
     discovery = FaultyDiscovery([backend.entry() for backend in backends])
     settings = PATIENT | {"safety": PATIENT["safety"] | {"ask_every": ASK_EVERY_US}}
-    # A busy machine may answer a probe late; the backend would be passed over, and newcomers rejected.
-    unhurried = {"setup_goal": 12_000_000, "client_timeout": 20_000_000}
-    settings["profiles"] = [row | unhurried for row in PATIENT["profiles"]]
+    # On a busy machine a probe may be answered late; its backend would not be chosen, and clients rejected.
+    long_timeouts = {"setup_goal": 12_000_000, "client_timeout": 20_000_000}
+    settings["profiles"] = [row | long_timeouts for row in PATIENT["profiles"]]
     limits = {"cores": 1.0, "memory_mb": 96, "sockets": SOCKETS}
     with RelayProgram(
         tmp_path, backends, settings=settings, discovery=discovery.address, limits=limits, control=control
@@ -124,26 +128,29 @@
         wait_until(lambda: discovery.calls)
         discovery.break_by(close_unread)
         with idle_clients(relay, 2 * SOCKETS):
-            wait_until(lambda: descriptors(relay) > HELD_BY_IDLE)
+            wait_until(lambda: descriptors(relay) > IDLE_CONNECTIONS)
             for _ in range(4):
                 failed, probed = discovery.faulted, sum(backend.probed for backend in backends)
                 open_at_once(relay)
-                assert call(control, "GET", "/control/ready") == 200, "the operators' call has its own"
+                assert call(control, "GET", "/control/ready") == 200, "an operator's call gets its descriptor"
                 wait_until(lambda probed=probed: sum(backend.probed for backend in backends) > probed)
                 wait_until(lambda failed=failed: discovery.faulted > failed)
             drained = backends[0]
             discovery.members = [drained.entry("draining"), backends[1].entry()]
             discovery.tell(drained.entry("draining"))
             discovery.repair()
-            time.sleep(COUNTS_AFTER + DRAIN_GRACE)
+            time.sleep(RECEIVED_AFTER + DRAIN_GRACE)
             placed = len(drained.heads)
             stay = [open_at_once(relay) for _ in range(12)]
             assert len(drained.heads) == placed and len(stay) == 12, "nothing new on a draining backend"
         assert "Too many open files" not in relay.log.read_text()
 
 
-def test_a_connection_that_is_closed_behind_a_slow_answer_says_nothing_against_its_backend() -> None:
-    """It had answered, but was not counted as kept until asked once more: its backend was passed over."""
+def test_a_probe_connection_closed_after_a_slow_answer_does_not_make_its_backend_look_busy() -> None:
+    """The connection had answered, but did not count as such until the probe was repeated.
+
+    Therefore the backend was taken for busy and not chosen.
+    """
     reactor, answered = MemoryReactorClock(), []
 
     def now() -> int:
@@ -153,13 +160,13 @@
     context = ConnectionContext(
         reactor, now, timers, BufferPool(BUFFER_SIZE, 4), SlotTable(4), RateLimitedLog(timers), Invariants()
     )
-    slow = SimpleNamespace(slowdown=lambda *_: 2.0)
+    slow_probes = SimpleNamespace(slowdown=lambda *_: 2.0)
     backends = BackendConnector(
         context,
         SimpleNamespace(),
-        lambda *told: answered.append(told[1]),
+        lambda *result: answered.append(result[1]),
         ReportReader({}),
-        slow,
+        slow_probes,
         150 * MS,
         SECOND,
         SECOND,
@@ -170,4 +177,4 @@
     link.makeConnection(FakeTransport())
     link.dataReceived(b"PONG\r\n")
     link.connectionLost(Failure(ConnectionDone()))
-    assert not answered and len(reactor.tcpClients) == 2, "it is asked on a new connection"
+    assert not answered and len(reactor.tcpClients) == 2, "the probe is repeated on a new connection"
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""A relay whose machine's wall clock is stepped: what is due by time comes in real time."""
+"""A relay whose machine's wall clock is stepped: everything that is timed happens in real time."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from cedarledge.net.start_times import StartTimes
 
 HOUR = 3600 * SECOND
-# Each is a series: a step, then the next a little later.
-SERIES = {
+# Steps of the wall clock in ns; the steps of a series follow each other closely.
+STEP_SERIES = {
     "forward": (5 * SECOND, HOUR),
     "back a little": (-SECOND // 5, -SECOND // 5, -SECOND // 5),
     "back": (-20 * SECOND,),
@@ -28,15 +28,17 @@
     "forward and back": (HOUR, -HOUR, HOUR, -HOUR, -20 * SECOND),
 }
 BETWEEN_STEPS = 0.05
-# How long a relay has been stopping before the first step.
+# Seconds between SIGTERM and the first step.
 STOPPED_FOR = 0.3
-# What a loaded machine may add.
+# Seconds that a loaded machine may add.
 SLACK = 0.5
-series = mark.parametrize("steps", SERIES.values(), ids=[name.replace(" ", "-") for name in SERIES])
+with_each_step_series = mark.parametrize(
+    "steps", STEP_SERIES.values(), ids=[name.replace(" ", "-") for name in STEP_SERIES]
+)
 
 
-class SteppedProgram(RelayProgram):
-    """A relay that runs by a wall clock of its own."""
+class RelayWithSteppedClock(RelayProgram):
+    """A relay process with a wall clock of its own, which the test can step."""
 
     def __init__(self, tmp: Path, backends: list[Backend], clock: WallClock, **other: object) -> None:
         self.clock = clock
@@ -61,7 +63,7 @@
 
 
 def seconds_until(client: Client, word: str, write_every: float = 0.5) -> float:
-    """How long it takes until a client that goes on writing is told a word."""
+    """Returns after how many seconds a client that keeps writing receives a word."""
     began = time.monotonic()
     client.link.settimeout(write_every)
     while time.monotonic() - began < 12:
@@ -73,13 +75,16 @@
     raise AssertionError(f"no {word} came")
 
 
-@series
+@with_each_step_series
 def test_clients_of_a_hung_backend_are_moved_in_time(
     tmp_path: Path, clock: WallClock, steps: tuple[int, ...]
 ) -> None:
-    """The incident: `MOVE` is owed within 7 s of silence; the relay gives it after 3 s."""
+    """A step of the wall clock once delayed the moves.
+
+    `MOVE` is due within 7 s of silence; the relay sends it after 3 s.
+    """
     backend = Backend("a")
-    with SteppedProgram(tmp_path, [backend], clock) as relay:
+    with RelayWithSteppedClock(tmp_path, [backend], clock) as relay:
         client = relay.client()
         assert client.open() == "UP r"
         backend.deaf = True
@@ -89,11 +94,11 @@
         assert "the wall clock was stepped" in relay.log.read_text()
 
 
-@series
-def test_attempts_end_before_their_clients_give_up(
+@with_each_step_series
+def test_requests_are_answered_before_their_clients_time_out(
     tmp_path: Path, clock: WallClock, steps: tuple[int, ...]
 ) -> None:
-    with SteppedProgram(tmp_path, [Backend("a", "hang")], clock) as relay:
+    with RelayWithSteppedClock(tmp_path, [Backend("a", "hang")], clock) as relay:
         client = relay.client()
         began = time.monotonic()
         client.link.sendall(b"OPEN 1 k c=feed,d=1500,g=g1\r\n")
@@ -102,11 +107,11 @@
         assert time.monotonic() - began < 1.55
 
 
-@series
-def test_a_relay_that_is_told_to_end_ends_before_it_is_killed(
+@with_each_step_series
+def test_a_relay_that_gets_sigterm_ends_before_it_is_killed(
     tmp_path: Path, clock: WallClock, steps: tuple[int, ...]
 ) -> None:
-    with SteppedProgram(tmp_path, [Backend("a")], clock) as relay:
+    with RelayWithSteppedClock(tmp_path, [Backend("a")], clock) as relay:
         client = relay.client()
         assert client.open() == "UP r"
         began = time.monotonic()
@@ -118,9 +123,11 @@
         assert time.monotonic() - began < 1.5 + 0.7
 
 
-@series
-def test_who_sends_no_whole_line_is_let_go(tmp_path: Path, clock: WallClock, steps: tuple[int, ...]) -> None:
-    with SteppedProgram(tmp_path, [Backend("a")], clock) as relay:
+@with_each_step_series
+def test_a_client_that_sends_no_whole_line_is_disconnected(
+    tmp_path: Path, clock: WallClock, steps: tuple[int, ...]
+) -> None:
+    with RelayWithSteppedClock(tmp_path, [Backend("a")], clock) as relay:
         client = relay.client()
         began = time.monotonic()
         client.link.sendall(b"OPEN 1")
@@ -129,9 +136,9 @@
         assert time.monotonic() - began < 3
 
 
-@series
-def test_a_silent_watch_is_opened_anew(tmp_path: Path, clock: WallClock, steps: tuple[int, ...]) -> None:
-    with SteppedProgram(tmp_path, [Backend("a")], clock) as relay:
+@with_each_step_series
+def test_a_silent_watch_is_reopened(tmp_path: Path, clock: WallClock, steps: tuple[int, ...]) -> None:
+    with RelayWithSteppedClock(tmp_path, [Backend("a")], clock) as relay:
         wait_until(lambda: len(relay.discovery.calls) > 1)
         relay.discovery.fall_silent()
         calls, began = len(relay.discovery.calls), time.monotonic()
@@ -140,13 +147,13 @@
         assert time.monotonic() - began < 6
 
 
-@series
-def test_a_draining_backend_loses_its_clients_in_time(
+@with_each_step_series
+def test_clients_of_a_draining_backend_are_moved_in_time(
     tmp_path: Path, clock: WallClock, steps: tuple[int, ...]
 ) -> None:
-    """Moves are spread over 4 s by the policy's own timer."""
+    """The policy spreads the moves over 4 s by a timer of its own."""
     backends = [Backend("a"), Backend("b")]
-    with SteppedProgram(tmp_path, backends, clock) as relay:
+    with RelayWithSteppedClock(tmp_path, backends, clock) as relay:
         clients = [relay.client() for _ in range(6)]
         for number, client in enumerate(clients):
             assert client.open(str(number)) == "UP r"
@@ -158,20 +165,25 @@
         assert time.monotonic() - began < 4 + SLACK
 
 
-@series
-def test_a_new_configuration_is_followed(tmp_path: Path, clock: WallClock, steps: tuple[int, ...]) -> None:
-    """The new address says nothing at first, so that the call to it has to be made anew."""
-    with SteppedProgram(tmp_path, [Backend("a")], clock) as relay, SteppedDiscovery(relay) as moved:
+@with_each_step_series
+def test_a_new_discovery_address_is_followed(
+    tmp_path: Path, clock: WallClock, steps: tuple[int, ...]
+) -> None:
+    """The first call to the new address gets no answer, so it has to be repeated."""
+    with (
+        RelayWithSteppedClock(tmp_path, [Backend("a")], clock) as relay,
+        SilentDiscovery(relay) as new_discovery,
+    ):
         began = time.monotonic()
-        relay.reload(discovery=moved.address)
-        wait_until(lambda: bool(moved.calls))
+        relay.reload(discovery=new_discovery.address)
+        wait_until(lambda: bool(new_discovery.calls))
         relay.step(steps)
-        wait_until(lambda: len(moved.calls) > 1, 12)
+        wait_until(lambda: len(new_discovery.calls) > 1, 12)
         assert time.monotonic() - began < 6
 
 
-class SteppedDiscovery:
-    """A discovery that falls silent under its first call."""
+class SilentDiscovery:
+    """A discovery that does not answer its calls."""
 
     def __init__(self, relay: RelayProgram) -> None:
         self._discovery = type(relay.discovery)(relay.discovery.members)
@@ -179,15 +191,15 @@
         self.calls = self._discovery.calls
         self._discovery.say = lambda link, data: None
 
-    def __enter__(self) -> SteppedDiscovery:
+    def __enter__(self) -> SilentDiscovery:
         return self
 
     def __exit__(self, *_: object) -> None:
         self._discovery.socket.close()
 
 
-def test_signals_and_steps_in_series_leave_exit_code_0(tmp_path: Path, clock: WallClock) -> None:
-    with SteppedProgram(tmp_path, [Backend("a")], clock) as relay:
+def test_the_exit_code_is_0_after_many_signals_and_steps(tmp_path: Path, clock: WallClock) -> None:
+    with RelayWithSteppedClock(tmp_path, [Backend("a")], clock) as relay:
         client = relay.client()
         assert client.open() == "UP r"
         began = time.monotonic()
@@ -199,156 +211,163 @@
         assert time.monotonic() - began < 0.1 + 1.5 + 0.7
 
 
-# -- one process after the other ---------------------------------------------------------------------
+# -- hot restarts -------------------------------------------------------------------------------------
 
 
-class SteppedPair(RestartableRelay):
-    """Processes of one relay, one after the other, by one wall clock."""
+class RestartableRelayWithSteppedClock(RestartableRelay):
+    """Successive processes of one relay with a common wall clock, which the test can step."""
 
     def __init__(self, tmp: Path, backends: list[Backend], clock: WallClock) -> None:
         self.environment = clock.environment()
         super().__init__(tmp, backends)
 
 
-@series
-def test_who_asks_and_does_not_take_over_loses_its_lease_in_time(
+@with_each_step_series
+def test_a_process_that_asks_and_does_not_take_over_loses_its_lease_in_time(
     tmp_path: Path, clock: WallClock, steps: tuple[int, ...]
 ) -> None:
-    with SteppedPair(tmp_path, [Backend("a")], clock) as relay, socket.socket(socket.AF_UNIX) as asks:
-        connect_to(asks, socket_path(relay.folder, "n0", relay.process.pid))
-        asks.sendall(encode_message(version=VERSION, name="n0"))
-        assert asks.recv(1)
+    with (
+        RestartableRelayWithSteppedClock(tmp_path, [Backend("a")], clock) as relay,
+        socket.socket(socket.AF_UNIX) as asking,
+    ):
+        connect_to(asking, socket_path(relay.folder, "n0", relay.process.pid))
+        asking.sendall(encode_message(version=VERSION, name="n0"))
+        assert asking.recv(1)
         began = time.monotonic()
         for by in steps:
             clock.step(by)
-        assert relay.client().open() == "UP r", "waits in the queue for as long as the lease"
+        assert relay.client().open() == "UP r", "the client waits in the accept queue until the lease ends"
         assert time.monotonic() - began < 1.5 + SLACK
 
 
-@series
-def test_processes_take_over_one_after_the_other(
-    tmp_path: Path, clock: WallClock, steps: tuple[int, ...]
-) -> None:
+@with_each_step_series
+def test_successive_processes_take_over(tmp_path: Path, clock: WallClock, steps: tuple[int, ...]) -> None:
     backend = Backend("a")
-    with SteppedPair(tmp_path, [backend], clock) as relay:
+    with RestartableRelayWithSteppedClock(tmp_path, [backend], clock) as relay:
         held = relay.client()
         assert held.open() == "UP r"
         for by in steps:
             clock.step(by)
             assert relay.next() < 6
             assert relay.client().open() == "UP r"
-            before = relay.processes[-2]
-            before.terminate()
+            predecessor = relay.processes[-2]
+            predecessor.terminate()
             clock.step(-by)
             clock.step(by)
-            assert before.wait(8) == 0
+            assert predecessor.wait(8) == 0
         assert held.read_line() == "MOVE"
-        assert relay.log.read_text().count("goes on alone") == 1, (
-            "the first process, which has none before it"
-        )
+        assert relay.log.read_text().count("goes on alone") == 1, "only the first process has no predecessor"
 
 
-def test_the_newest_process_is_asked_whatever_the_times_of_the_sockets_say(tmp_path: Path) -> None:
-    """As a step back between the starts of the two leaves them."""
+def test_the_newest_process_is_asked_whatever_the_modification_times_of_the_sockets_are(
+    tmp_path: Path,
+) -> None:
+    """A step back between the starts of two processes makes the older socket look newer."""
     with restartable_relay(tmp_path, Backend("a")) as relay:
         assert relay.next() < 6
         os.utime(socket_path(relay.folder, "n0", relay.processes[1].pid), (1, 1))
         assert relay.next() < 6
-        assert not relay.said("asked again"), "the oldest was asked, which has handed over already"
+        assert not relay.said("asked again"), "the oldest process, which has handed over already, was asked"
 
 
-def test_what_one_process_knew_of_unix_time_goes_over_to_the_next() -> None:
-    shared, told = 77 * SECOND, 1000 * HOUR
-    old = StartTimes(lambda: told + HOUR)
+def test_the_offset_to_unix_time_is_handed_over_to_the_next_process() -> None:
+    shared, start = 77 * SECOND, 1000 * HOUR
+    old = StartTimes(lambda: start + HOUR)
     old.correction = HOUR + 2 * SECOND
-    new = StartTimes(lambda: told - 5 * HOUR)
+    new = StartTimes(lambda: start - 5 * HOUR)
     new.adopt_unix_offset(old.unix_offset(shared), shared)
-    age = old._clock() - old.on_relay_clock(1, told - 10 * SECOND)
-    assert new._clock() - new.on_relay_clock(1, told - 10 * SECOND) == age
+    age = old._clock() - old.on_relay_clock(1, start - 10 * SECOND)
+    assert new._clock() - new.on_relay_clock(1, start - 10 * SECOND) == age
 
 
-# -- starts of backends, which are told in Unix time -------------------------------------------------
+# -- start times of backends, which discovery reports in Unix time -------------------------------------
 
 
-def started_now(backend: Backend) -> dict:
+def entry_started_now(backend: Backend) -> dict:
     return backend.entry() | {"up_since_ms": time.time_ns() // MS}
 
 
-def test_a_relay_whose_machine_stands_an_hour_back_fills_backends_that_have_just_started(
+def test_with_a_clock_an_hour_behind_backends_that_have_just_started_warm_up_in_time(
     tmp_path: Path, clock: WallClock
 ) -> None:
-    """By its own clock they start in an hour, and would count as cold until then."""
+    """By the relay's clock they start in an hour, and would count as cold until then."""
     clock.step(-HOUR)
     backends = [Backend("a"), Backend("b")]
-    entries = [started_now(backend) for backend in backends]
+    entries = [entry_started_now(backend) for backend in backends]
     known = {"revision": 7, "complete": True, "members": entries}
-    with SteppedProgram(tmp_path, backends, clock, known=known) as relay:
+    with RelayWithSteppedClock(tmp_path, backends, clock, known=known) as relay:
         time.sleep(SETTINGS["safety"]["warm_within"] / 1e6)
-        warm = [relay.client().open(str(number)) for number in range(40)]
-        assert warm == ["UP r"] * 40
+        answers = [relay.client().open(str(number)) for number in range(40)]
+        assert answers == ["UP r"] * 40
 
 
-class SeenStarts:
-    """A registry's start times by a clock that the test sets."""
+class VirtualStartTimes:
+    """Start times by a clock that the test sets."""
 
     def __init__(self) -> None:
         self.now = 1000 * HOUR
         self.times = StartTimes(lambda: self.now)
 
     def pass_time(self, span: int) -> None:
-        """Lets time pass up to the next answer of discovery, which says nothing of starts."""
+        """Lets time pass up to the next answer of discovery, which reports no start."""
         self.now += span
         self.times.mark_list_current()
 
 
-def test_starts_are_taken_as_told_where_the_clocks_agree() -> None:
-    seen = SeenStarts()
-    assert seen.times.on_relay_clock(0, 0) == 0, "long ago"
-    assert seen.times.on_relay_clock(1, seen.now - HOUR) == seen.now - HOUR, "before the first list"
-    seen.pass_time(3 * SECOND)
-    assert seen.times.on_relay_clock(2, seen.now - SECOND) == seen.now - SECOND
-    assert seen.times.on_relay_clock(1, seen.now - 3 * SECOND - HOUR) == seen.now - 3 * SECOND - HOUR
-    seen.pass_time(8 * SECOND)
-    told = seen.now - 2 * SECOND
-    assert seen.times.on_relay_clock(3, told) == told, "listed late, as discovery may"
+def test_start_times_are_unchanged_if_the_clocks_agree() -> None:
+    scenario = VirtualStartTimes()
+    assert scenario.times.on_relay_clock(0, 0) == 0, "long ago"
+    assert scenario.times.on_relay_clock(1, scenario.now - HOUR) == scenario.now - HOUR, (
+        "before the first list"
+    )
+    scenario.pass_time(3 * SECOND)
+    assert scenario.times.on_relay_clock(2, scenario.now - SECOND) == scenario.now - SECOND
+    assert (
+        scenario.times.on_relay_clock(1, scenario.now - 3 * SECOND - HOUR) == scenario.now - 3 * SECOND - HOUR
+    )
+    scenario.pass_time(8 * SECOND)
+    start = scenario.now - 2 * SECOND
+    assert scenario.times.on_relay_clock(3, start) == start, "discovery may list a start late"
 
 
 @mark.parametrize("ahead", [0, HOUR, 20 * SECOND, -HOUR])
-def test_the_newest_start_of_a_first_list_is_taken_for_one_of_that_moment(ahead: int) -> None:
-    """Whether the wall clock was stepped before this relay started, nothing tells it yet."""
-    seen = SeenStarts()
-    newest = seen.now - 3 * SECOND - ahead
-    seen.times.calibrate([0, newest, newest - 5 * SECOND, newest - HOUR])
-    assert seen.times.on_relay_clock(0, 0) == 0
-    assert seen.times.on_relay_clock(1, newest) == seen.now
-    assert seen.times.on_relay_clock(2, newest - 5 * SECOND) == seen.now - 5 * SECOND
-    assert seen.times.on_relay_clock(3, newest - HOUR) == seen.now - HOUR
-    seen.pass_time(10 * SECOND)
-    true_start = seen.now - SECOND
-    assert true_start <= seen.times.on_relay_clock(4, true_start - ahead) <= seen.now
+def test_the_newest_start_in_the_first_list_counts_as_a_start_at_that_moment(ahead: int) -> None:
+    """The relay can't know yet whether the wall clock was stepped before it started."""
+    scenario = VirtualStartTimes()
+    newest = scenario.now - 3 * SECOND - ahead
+    scenario.times.calibrate([0, newest, newest - 5 * SECOND, newest - HOUR])
+    assert scenario.times.on_relay_clock(0, 0) == 0
+    assert scenario.times.on_relay_clock(1, newest) == scenario.now
+    assert scenario.times.on_relay_clock(2, newest - 5 * SECOND) == scenario.now - 5 * SECOND
+    assert scenario.times.on_relay_clock(3, newest - HOUR) == scenario.now - HOUR
+    scenario.pass_time(10 * SECOND)
+    true_start = scenario.now - SECOND
+    assert true_start <= scenario.times.on_relay_clock(4, true_start - ahead) <= scenario.now
 
 
 @mark.parametrize("ahead", [HOUR, 20 * SECOND, -HOUR, -SECOND // 5])
-def test_a_start_that_is_seen_sets_a_wrong_clock_right(ahead: int) -> None:
-    seen = SeenStarts()
-    seen.pass_time(3 * SECOND)
-    seen.pass_time(3 * SECOND)
-    true_start = seen.now - SECOND
-    placed = seen.times.on_relay_clock(1, true_start - ahead)
-    assert true_start <= placed <= seen.now, "cold for no shorter than it is"
-    seen.pass_time(10 * SECOND)
-    assert seen.times.on_relay_clock(1, true_start - ahead) == placed, "one start stays where it is"
-    true_start = seen.now - 2 * SECOND
-    assert true_start <= seen.times.on_relay_clock(2, true_start - ahead) <= seen.now
-    seen.pass_time(HOUR)
-    assert seen.times.on_relay_clock(3, seen.now - SECOND - ahead) <= seen.now
-
-
-def test_a_backend_that_is_listed_long_after_its_start_makes_others_cold_once_at_most() -> None:
-    seen = SeenStarts()
-    seen.pass_time(SECOND)
-    seen.times.on_relay_clock(1, seen.now - HOUR)
+def test_an_observed_start_corrects_a_wrong_clock(ahead: int) -> None:
+    scenario = VirtualStartTimes()
+    scenario.pass_time(3 * SECOND)
+    scenario.pass_time(3 * SECOND)
+    true_start = scenario.now - SECOND
+    placed = scenario.times.on_relay_clock(1, true_start - ahead)
+    assert true_start <= placed <= scenario.now, "the backend counts as cold for no shorter than it is"
+    scenario.pass_time(10 * SECOND)
+    assert scenario.times.on_relay_clock(1, true_start - ahead) == placed, (
+        "the same start is not converted anew"
+    )
+    true_start = scenario.now - 2 * SECOND
+    assert true_start <= scenario.times.on_relay_clock(2, true_start - ahead) <= scenario.now
+    scenario.pass_time(HOUR)
+    assert scenario.times.on_relay_clock(3, scenario.now - SECOND - ahead) <= scenario.now
+
+
+def test_a_backend_listed_long_after_its_start_makes_others_cold_once_at_most() -> None:
+    scenario = VirtualStartTimes()
+    scenario.pass_time(SECOND)
+    scenario.times.on_relay_clock(1, scenario.now - HOUR)
     for backend_id in (2, 3):
-        seen.pass_time(SECOND)
-        told = seen.now - SECOND // 2
-        assert told <= seen.times.on_relay_clock(backend_id, told) <= seen.now
+        scenario.pass_time(SECOND)
+        start = scenario.now - SECOND // 2
+        assert start <= scenario.times.on_relay_clock(backend_id, start) <= scenario.now
