--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -248,7 +248,7 @@
         assert held.open() == "UP r"
         for by in steps:
             clock.step(by)
-            assert relay.next() < 6
+            assert relay.start_next() < 6
             assert relay.client().open() == "UP r"
             predecessor = relay.processes[-2]
             predecessor.terminate()
@@ -264,10 +264,10 @@
 ) -> None:
     """A step back between the starts of two processes makes the older socket look newer."""
     with restartable_relay(tmp_path, Backend("a")) as relay:
-        assert relay.next() < 6
+        assert relay.start_next() < 6
         os.utime(socket_path(relay.folder, "n0", relay.processes[1].pid), (1, 1))
-        assert relay.next() < 6
-        assert not relay.said("asked again"), "the oldest process, which has handed over already, was asked"
+        assert relay.start_next() < 6
+        assert not relay.logged("asked again"), "the oldest process, which has handed over already, was asked"
 
 
 def test_the_offset_to_unix_time_is_handed_over_to_the_next_process() -> None:
