--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -26,7 +26,7 @@
         def call(method: object, *args: object) -> bool:
             if method == host.balancer.list_changed:
                 form, entries = args
-                host.tell(form, *entries)
+                host.update_list(form, *entries)
             else:
                 method(host.now, *args)
             return True
@@ -93,7 +93,7 @@
     host, registry = harness.host, harness.registry
     banned: set[str] = set()
     for action, name in steps:
-        sends, probes = len(host.sends), len(host.probes)
+        sends, probes = len(host.attempts), len(host.probes)
         if action == "ban":
             harness.ban(name)
             banned.add(name)
@@ -115,7 +115,7 @@
             if not host.requests[tun].answered:
                 # The attempt fails, and the policy tries other backends as long as there are any.
                 host.end(tun, Outcome.FULL)
-        new = host.sends[sends:]
+        new = host.attempts[sends:]
         assert not {registry.backend_ids.names[ep] for _, _, ep in new} & banned
         assert not {registry.backend_ids.names[ep] for _, ep in host.probes[probes:]} & banned
         # Only the banned backends are not ready; the others are not affected.
@@ -127,17 +127,17 @@
     harness = RegistryHarness()
     harness.registry.set_excluded(NAMES)
     tun = harness.host.arrive()
-    assert harness.host.sends and not harness.host.requests[tun].answered, (
+    assert harness.host.attempts and not harness.host.requests[tun].answered, (
         "excluding all would stop all traffic, so it is taken for a mistake"
     )
     for name in NAMES:
         harness.ban(name)
-    sends = len(harness.host.sends)
+    sends = len(harness.host.attempts)
     tun = harness.host.arrive()
-    assert harness.host.requests[tun].answered and len(harness.host.sends) == sends
+    assert harness.host.requests[tun].answered and len(harness.host.attempts) == sends
     harness.unban("b")
     harness.host.now += 11 * SECOND  # warm
-    assert harness.host.arrive() >= 0 and [ep for _, _, ep in harness.host.sends[sends:]] == [1]
+    assert harness.host.arrive() >= 0 and [ep for _, _, ep in harness.host.attempts[sends:]] == [1]
 
 
 def test_a_readmitted_backend_is_cold_and_without_history_whatever_the_list_says() -> None:
@@ -178,22 +178,22 @@
         assert call(control, "POST", "/control/backends/a/offline") == 200
         start = time.monotonic()
         # The list reports it as up, by a change and whole, and as restarted; so does the list after a SIGHUP.
-        relay.discovery.tell(backends[0].entry())
-        relay.discovery.tell(backends[0].entry() | {"up_since_ms": int(time.time() * 1000)})
+        relay.discovery.publish(backends[0].entry())
+        relay.discovery.publish(backends[0].entry() | {"up_since_ms": int(time.time() * 1000)})
         relay.reload()
-        requests = len(backends[0].heads)
+        requests = len(backends[0].open_lines)
         assert all(relay.client().open(f"new{number}") == "UP r" for number in range(10))
         moved = 0
         while moved < held and time.monotonic() - start < 6:
             moved = sum(end == "ended" for end in backends[0].ends)
             time.sleep(0.05)
-        assert moved >= held and len(backends[0].heads) == requests
+        assert moved >= held and len(backends[0].open_lines) == requests
         assert call(control, "POST", "/control/backends/a/online") == 200
         start = time.monotonic()
-        while len(backends[0].heads) == requests and time.monotonic() - start < 5:
+        while len(backends[0].open_lines) == requests and time.monotonic() - start < 5:
             assert relay.client().open(f"back{time.monotonic()}") == "UP r"
             time.sleep(0.1)
-        assert len(backends[0].heads) > requests
+        assert len(backends[0].open_lines) > requests
 
 
 def test_with_all_backends_banned_clients_are_rejected_and_nothing_is_probed(tmp_path: Path) -> None:
@@ -202,12 +202,12 @@
         assert relay.client().open() == "UP r"
         assert call(control, "POST", "/control/backends/a/offline") == 200
         wait_until(lambda: backend.ends.count("ended") + backend.ends.count("reset") >= 2)
-        seen = len(backend.ends), len(backend.heads)
+        seen = len(backend.ends), len(backend.open_lines)
         time.sleep(2.5)
         assert relay.client().open() == "BUSY"
         before = relay.client().open("k", "c=feed,d=4294967,at=a")
         assert before == "ERR", "a connection that was open there before is not served either"
-        assert seen == (len(backend.ends), len(backend.heads)), "neither connections nor probes"
+        assert seen == (len(backend.ends), len(backend.open_lines)), "neither connections nor probes"
         assert call(control, "POST", "/control/backends/a/online") == 200
 
 
@@ -215,14 +215,14 @@
     harness = RegistryHarness()
     host = harness.host
     tun = host.arrive(key="k")
-    ep = host.sends[-1][2]
+    ep = host.attempts[-1][2]
     harness.ban(harness.registry.backend_ids.names[ep])
     # The host checks once more before it writes (Tunnels.may_send), and reports that it was not sent.
     assert ep not in harness.registry.ready
     host.end(tun, Outcome.NOT_SENT)
     while tun in host.balancer.state.awaiting_probe:
         host.report(host.balancer.state.awaiting_probe[tun].backend_id, 0.1)
-    assert host.sends[-1][2] != ep, "it is sent to another backend"
+    assert host.attempts[-1][2] != ep, "it is sent to another backend"
 
 
 def test_backend_names_in_calls_are_percent_decoded(tmp_path: Path) -> None:
--- a/tests/test_terms_backends.py
+++ b/tests/test_terms_backends.py
@@ -48,11 +48,11 @@
                 client.link.sendall(f"OPEN 1 k c={name},d=3000\r\n".encode())
                 assert killed.stdout.readline() == b"accepted\n"
                 wait_until(lambda: relay.discovery.calls)
-                relay.discovery.tell(other.entry())
+                relay.discovery.publish(other.entry())
                 wait_until(lambda: len(relay.discovery.calls) > 1)
                 killed.send_signal(signal.SIGKILL)
                 assert client.read_line() == ("UP r" if is_retried else "ERR")
-                assert len(other.heads) == is_retried
+                assert len(other.open_lines) == is_retried
         finally:
             with suppress(ProcessLookupError):
                 killed.kill()
--- a/tests/test_terms_fleet_size.py
+++ b/tests/test_terms_fleet_size.py
@@ -10,14 +10,14 @@
 from test_terms_start import processor_seconds
 
 from cedarledge.standins.plan import (
-    MOST_BOXES,
-    MOST_RELAYS,
+    MAX_BOXES,
+    MAX_RELAYS,
     box_address,
-    box_way_address,
+    box_proxy_address,
     discovery_address,
-    discovery_way_address,
+    discovery_proxy_address,
     peer_address,
-    peer_lane_address,
+    peer_proxy_address,
     relay_address,
 )
 
@@ -57,22 +57,22 @@
         clients = [relay.client() for _ in range(CLIENTS)]
         assert {client.open(f"key-{number}") for number, client in enumerate(clients)} == {"UP r"}
         wait_until(lambda: relay.discovery.calls)
-        relay.discovery.tell(*(entry | {"phase": "draining"} for entry in entries[:-1]))
+        relay.discovery.publish(*(entry | {"phase": "draining"} for entry in entries[:-1]))
         wait_until(lambda: len(relay.discovery.calls) >= 2)
-        placed = sum(len(backend.heads) for backend in backends[:-1])
+        placed = sum(len(backend.open_lines) for backend in backends[:-1])
         for number in range(4):
             assert relay.client().open(f"late-{number}") in ("UP r", "BUSY"), "one cold backend is left"
-        assert sum(len(backend.heads) for backend in backends[:-1]) == placed, "1,099 are draining"
+        assert sum(len(backend.open_lines) for backend in backends[:-1]) == placed, "1,099 are draining"
         assert peak_memory_mb(relay) < MEMORY_MB
         assert descriptors(relay) < SOCKETS
 
 
 def test_the_rig_has_an_address_for_each_of_1100_relays_at_each_of_1100_backends() -> None:
     """It had addresses for 64 relays."""
-    assert min(MOST_RELAYS, MOST_BOXES) >= RELAYS
-    edges = [0, 1, 63, 64, 199, 200, 1023, 1024, RELAYS - 1, MOST_RELAYS - 1]
-    of_pairs = (box_address, box_way_address)
-    of_relays = (relay_address, peer_address, peer_lane_address, discovery_address, discovery_way_address)
+    assert min(MAX_RELAYS, MAX_BOXES) >= RELAYS
+    edges = [0, 1, 63, 64, 199, 200, 1023, 1024, RELAYS - 1, MAX_RELAYS - 1]
+    of_pairs = (box_address, box_proxy_address)
+    of_relays = (relay_address, peer_address, peer_proxy_address, discovery_address, discovery_proxy_address)
     addresses = [address(box, relay) for address in of_pairs for box in edges for relay in edges]
     addresses += [address(relay) for address in of_relays for relay in edges]
     assert len(set(addresses)) == len(addresses), "each has its own"
--- a/tests/test_terms_limits.py
+++ b/tests/test_terms_limits.py
@@ -50,13 +50,13 @@
         self.probed = 0
         super().__init__(name)
 
-    def talk(self, link: socket.socket, lines: IO[bytes]) -> None:
+    def serve_lines(self, link: socket.socket, lines: IO[bytes]) -> None:
         if lines.peek(1).startswith(b"STATS"):
             lines.readline()
             link.sendall(f"PONG {self.stats}\r\n".encode())
             self.probed += 1
             return
-        super().talk(link, lines)
+        super().serve_lines(link, lines)
 
 
 @contextmanager
@@ -137,12 +137,12 @@
                 wait_until(lambda failed=failed: discovery.faulted > failed)
             drained = backends[0]
             discovery.members = [drained.entry("draining"), backends[1].entry()]
-            discovery.tell(drained.entry("draining"))
+            discovery.publish(drained.entry("draining"))
             discovery.repair()
             time.sleep(RECEIVED_AFTER + DRAIN_GRACE)
-            placed = len(drained.heads)
+            placed = len(drained.open_lines)
             stay = [open_at_once(relay) for _ in range(12)]
-            assert len(drained.heads) == placed and len(stay) == 12, "nothing new on a draining backend"
+            assert len(drained.open_lines) == placed and len(stay) == 12, "nothing new on a draining backend"
         assert "Too many open files" not in relay.log.read_text()
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -87,7 +87,7 @@
     with RelayWithSteppedClock(tmp_path, [backend], clock) as relay:
         client = relay.client()
         assert client.open() == "UP r"
-        backend.deaf = True
+        backend.unresponsive = True
         client.link.sendall(b"M 0\r\n")
         relay.step(steps)
         assert seconds_until(client, "MOVE") < 3 + SLACK
@@ -159,7 +159,7 @@
             assert client.open(str(number)) == "UP r"
         draining = max(backends, key=lambda backend: len(backend.opened))
         began = time.monotonic()
-        relay.discovery.tell(draining.entry("draining"))
+        relay.discovery.publish(draining.entry("draining"))
         relay.step(steps)
         wait_until(lambda: len(draining.ends) >= len(draining.opened), 12)
         assert time.monotonic() - began < 4 + SLACK
@@ -189,7 +189,7 @@
         self._discovery = type(relay.discovery)(relay.discovery.members)
         self.address = self._discovery.address
         self.calls = self._discovery.calls
-        self._discovery.say = lambda link, data: None
+        self._discovery.send = lambda link, data: None
 
     def __enter__(self) -> SilentDiscovery:
         return self
