--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -211,7 +211,7 @@
         chunked = ChunkedDiscovery([backend.entry() for backend in backends])
         relay.reload(discovery=chunked.address)
         wait_until(lambda: len(chunked.calls) == 2)
-        chunked.tell(backends[0].entry("draining"))
+        chunked.publish(backends[0].entry("draining"))
         wait_until(lambda: len(chunked.calls) == 3)
         assert not connections_at(relay, backends[0])
 
@@ -246,7 +246,7 @@
         resetting = ResettingDiscovery([backend.entry() for backend in backends])
         relay.reload(discovery=resetting.address)
         wait_until(lambda: len(resetting.answered) >= 1 and len(resetting.calls) >= 2)
-        resetting.tell(backends[0].entry("draining"))
+        resetting.publish(backends[0].entry("draining"))
         wait_until(lambda: len(resetting.answered) >= 2)
         time.sleep(0.05)
         assert not connections_at(relay, backends[0])
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -177,7 +177,7 @@
         self._discovery = type(relay.discovery)(relay.discovery.members)
         self.address = self._discovery.address
         self.calls = self._discovery.calls
-        self._discovery.say = lambda link, data: None
+        self._discovery.send = lambda link, data: None
 
     def __enter__(self) -> SteppedDiscovery:
         return self
