--- a/cedarledge/cli.py
+++ b/cedarledge/cli.py
@@ -337,18 +337,20 @@
     from cedarledge.rig.soak import SoakResult, soak_all
 
     def done(result: SoakResult) -> None:
-        word = "holds" if result.passed else result.problem or f"BROKEN {result.rules | result.invariants}"
-        click.echo(f"seed {result.seed}: {result.connections} connections, {word}")
+        outcome = "holds" if result.passed else result.problem or f"BROKEN {result.rules | result.invariants}"
+        click.echo(f"seed {result.seed}: {result.connections} connections, {outcome}")
         for finding in result.findings:
             click.echo(f"  {finding}")
 
     results = soak_all(seeds_of(seeds), jobs, Path(keep), done, relays, seconds)
     if out:
         Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1))
-    held = sum(result.passed for result in results)
+    passed = sum(result.passed for result in results)
     not_run = sum(bool(result.problem) for result in results)
-    click.echo(f"{held} of {len(results)} seeds hold, {not_run} could not be played")
-    sys.exit(0 if held == len(results) else STANDINS_LATE if held + not_run == len(results) else RULE_BROKEN)
+    click.echo(f"{passed} of {len(results)} seeds hold, {not_run} could not be played")
+    sys.exit(
+        0 if passed == len(results) else STANDINS_LATE if passed + not_run == len(results) else RULE_BROKEN
+    )
 
 
 @main.command()
--- a/cedarledge/net/audit.py
+++ b/cedarledge/net/audit.py
@@ -58,9 +58,9 @@
         self.start()
         self._check_wall_clock()
         now = self._timers.now()
-        held = self._tunnels.table.handles()
-        self._reported.intersection_update(held)
-        for handle in held:
+        handles = self._tunnels.table.handles()
+        self._reported.intersection_update(handles)
+        for handle in handles:
             tunnel = self._tunnels.table.get(handle)
             if handle not in self._reported and tunnel is not None:
                 self._check_tunnel(handle, tunnel, now)
--- a/cedarledge/net/listeners.py
+++ b/cedarledge/net/listeners.py
@@ -27,9 +27,9 @@
 
     Evicted first are connections that have had their answer, then those without a complete request, the one
     whose last byte (or whose connect) is longest ago first. By the age of the connection alone, a legitimate
-    client that writes slowly would be among the first to go in a crowd. Connections that have sent nothing do
-    not go before those that have sent part of a request: the newest one, whose request has arrived but was
-    not read yet, would be the first of them.
+    client that writes slowly would be among the first to go when many connections arrive. Connections that
+    have sent nothing do not go before those that have sent part of a request: the newest one, whose request
+    has arrived but was not read yet, would be the first of them.
     """
 
     noisy = False
--- a/cedarledge/operator/file.py
+++ b/cedarledge/operator/file.py
@@ -12,7 +12,7 @@
 
 # Tables that take effect only at the start. Each has a switch `on`, which is off by default.
 RESTART_ONLY = ("peers",)
-BoxName = Annotated[str, Meta(min_length=1, max_length=256)]
+BackendName = Annotated[str, Meta(min_length=1, max_length=256)]
 
 
 class LogTable(msgspec.Struct, frozen=True):
@@ -33,11 +33,11 @@
             raise ValueError(f"events: they are logged at 'info', which level = {self.level!r} hides")
 
 
-class BoxesTable(msgspec.Struct, frozen=True):
-    """Backends that operators treat differently."""
+class BackendsTable(msgspec.Struct, frozen=True):
+    """Backends that operators treat differently. The outer name of this table is `boxes`."""
 
     # Names of backends that get no new connections; open ones stay. Ignored if it names every ready backend.
-    aside: Annotated[tuple[BoxName, ...], Meta(max_length=1000)] = ()
+    aside: Annotated[tuple[BackendName, ...], Meta(max_length=1000)] = ()
 
     def __post_init__(self) -> None:
         """Refuses a backend name that occurs twice."""
@@ -93,7 +93,7 @@
     """All tables of the file. Each has defaults, so an empty file is valid."""
 
     log: LogTable = LogTable()
-    boxes: BoxesTable = BoxesTable()
+    boxes: BackendsTable = BackendsTable()
     hearers: ObserversTable = ObserversTable()
     peers: PeersTable = PeersTable()
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -170,12 +170,12 @@
 
 def listeners(pid: int) -> set[str]:
     """Returns the inodes of the TCP sockets on which a process listens."""
-    held = set()
+    links = set()
     for entry in Path(f"/proc/{pid}/fd").iterdir():
         with suppress(FileNotFoundError):  # closed meanwhile
-            held.add(os.readlink(entry))
+            links.add(os.readlink(entry))
     rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
-    return {row[9] for row in rows if row[3] == "0A" and f"socket:[{row[9]}]" in held}
+    return {row[9] for row in rows if row[3] == "0A" and f"socket:[{row[9]}]" in links}
 
 
 def test_out_of_service_moves_all_clients_and_in_service_takes_clients_again(tmp_path: Path) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -195,8 +195,8 @@
 class ChunkedDiscovery(Discovery):
     """Sends its lists indented, and a few bytes at a time."""
 
-    def encode(self, told: dict) -> bytes:
-        return json.dumps(told, indent=4).encode()
+    def encode(self, content: dict) -> bytes:
+        return json.dumps(content, indent=4).encode()
 
     def send(self, link: socket.socket, data: bytes) -> None:
         link.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -173,8 +173,8 @@
         with closing(socket.socket(socket.AF_UNIX)) as link:
             connect_to(link, path)
             link.sendall(json.dumps({"version": VERSION, "name": "n0"}).encode() + b"\n")
-            estate = parse_handover_state(link.makefile("rb").readline())
-            assert [entry["id"] for entry in estate.members] == ["a"] and estate.revision == 7
+            state = parse_handover_state(link.makefile("rb").readline())
+            assert [entry["id"] for entry in state.members] == ["a"] and state.revision == 7
             waits = relay.client()
             waits.link.sendall(b"PING\r\n")
             time.sleep(0.3)
@@ -315,8 +315,8 @@
 def test_descriptors_that_the_old_process_frees_go_to_the_new_one(tmp_path: Path) -> None:
     limits = {"cores": 1.0, "memory_mb": 96, "sockets": 150}
     with restartable_relay(tmp_path, Backend("a"), limits=limits) as relay:
-        held = [relay.client() for _ in range(22)]
-        assert all(client.open(str(number)) == "UP r" for number, client in enumerate(held))
+        clients = [relay.client() for _ in range(22)]
+        assert all(client.open(str(number)) == "UP r" for number, client in enumerate(clients))
         assert relay.start_next() < 6
         # Both processes together hold no more than one may, so the new one soon has no slot and accepts
         # nobody.
--- a/tests/test_terms_start.py
+++ b/tests/test_terms_start.py
@@ -65,7 +65,7 @@
             site.list_request_interval,
             False,
             random.Random(number).random,
-            self.told,
+            self.list_received,
             self.failed,
         )
         self.calls_failed = 0
@@ -84,7 +84,7 @@
     def request_list(self) -> None:
         self.watch_loop.start()
 
-    def told(self, whole: bool, members: list) -> None:
+    def list_received(self, whole: bool, members: list) -> None:
         self.balancer.list_changed(self.now(), ListForm.WHOLE if whole else ListForm.CHANGES, [])
 
     def failed(self) -> None:
