--- a/cedarledge/cli.py
+++ b/cedarledge/cli.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from cedarledge import __version__
-from cedarledge.model.command import model, seeds_of
+from cedarledge.model.command import model, parse_seeds
 from cedarledge.operator.tables import BadFileError
 from cedarledge.peers.command import peers
 from cedarledge.rig.variants import BASELINES
@@ -285,7 +285,7 @@
         for text in (name, str(value))
     ]
     sides = [_run_arguments(what, scenario) for what in (a, b)]
-    numbers = seeds_of(seeds)
+    numbers = parse_seeds(seeds)
     lists = [[*side, "--seed", str(seed), *sizes] for seed in numbers for side in sides]
     count = itertools.count(1)
 
@@ -342,7 +342,7 @@
         for finding in result.findings:
             click.echo(f"  {finding}")
 
-    results = soak_all(seeds_of(seeds), jobs, Path(keep), done, relays, seconds)
+    results = soak_all(parse_seeds(seeds), jobs, Path(keep), done, relays, seconds)
     if out:
         Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1))
     passed = sum(result.passed for result in results)
--- a/cedarledge/model/command.py
+++ b/cedarledge/model/command.py
@@ -14,15 +14,15 @@
 import msgspec
 import numpy as np
 
-from cedarledge.model import explore as exploring
-from cedarledge.model import peers as fleets
-from cedarledge.model import votes as voting
-from cedarledge.model import zones as zoning
-from cedarledge.model.world import Lane
+from cedarledge.model import explore as delivery_model
+from cedarledge.model import peers as membership_model
+from cedarledge.model import votes as voter_model
+from cedarledge.model import zones as zone_model
+from cedarledge.model.simulation import Link
 from cedarledge.terms import SECOND
 
-BROKEN = 1
-BOUNDS = (8, 16, 32, 64, 128, 256, 512, 1000)
+EXIT_INVARIANT_VIOLATED = 1
+FLEET_SIZES = (8, 16, 32, 64, 128, 256, 512, 1000)
 
 
 @click.group()
@@ -30,7 +30,7 @@
     """Play machines of many relays against faults, in virtual time."""
 
 
-def seeds_of(text: str) -> list[int]:
+def parse_seeds(text: str) -> list[int]:
     """A span like 1-8. Raises click.BadParameter."""
     low, dash, high = text.partition("-")
     try:
@@ -42,16 +42,18 @@
     return seeds
 
 
-def side_by_side(call: Callable[[Any], Any], over: Iterable[Any], jobs: int, chunk: int = 1) -> Iterator[Any]:
+def parallel_map(
+    function: Callable[[Any], Any], items: Iterable[Any], jobs: int, chunk: int = 1
+) -> Iterator[Any]:
     """In the order of `over`, so that what is said does not hang on the machine."""
     if jobs == 1:
-        yield from map(call, over)
+        yield from map(function, items)
         return
     with ProcessPoolExecutor(jobs) as pool:
-        yield from pool.map(call, over, chunksize=chunk)
+        yield from pool.map(function, items, chunksize=chunk)
 
 
-def spread(values: list[float]) -> dict[str, float]:
+def percentiles(values: list[float]) -> dict[str, float]:
     if not values:
         return {}
     return {
@@ -61,15 +63,17 @@
     }
 
 
-def _kinds(_context: Any, _option: Any, text: str) -> list[str]:
+def _parse_kinds(_context: Any, _option: Any, text: str) -> list[str]:
     kinds = [kind.strip().replace("-", "_") for kind in text.split(",")]
-    unknown = [kind for kind in kinds if kind not in fleets.FAULTS]
+    unknown = [kind for kind in kinds if kind not in membership_model.FAULT_KINDS]
     if unknown:
-        raise click.BadParameter(f"{unknown[0]!r}; known are {', '.join(fleets.FAULTS)}")
+        raise click.BadParameter(f"{unknown[0]!r}; known are {', '.join(membership_model.FAULT_KINDS)}")
     return kinds
 
 
-_jobs = click.option("--jobs", type=click.IntRange(1, 256), default=os.cpu_count(), show_default="all cores")
+_jobs_option = click.option(
+    "--jobs", type=click.IntRange(1, 256), default=os.cpu_count(), show_default="all cores"
+)
 
 
 @model.command()
@@ -77,12 +81,12 @@
 @click.option("--seeds", default="1-100", show_default=True, help="A span like 1-100.")
 @click.option(
     "--faults",
-    callback=_kinds,
-    default=",".join(fleets.FAULTS),
+    callback=_parse_kinds,
+    default=",".join(membership_model.FAULT_KINDS),
     help="Kinds to draw from.",
     show_default=True,
 )
-@_jobs
+@_jobs_option
 @click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the figures there.")
 def peers(members: int, seeds: str, faults: list[str], jobs: int, out: str | None) -> None:
     """Fleets of peers, one a seed: what must hold at every step and at the end, and figures.
@@ -90,31 +94,33 @@
     Where something does not hold: the seed, the shortest history that was found, and exit code 1.
     """
     rows = []
-    for row in side_by_side(partial(fleets.play, members, kinds=faults), seeds_of(seeds), jobs):
+    for row in parallel_map(
+        partial(membership_model.run_seed, members, kinds=faults), parse_seeds(seeds), jobs
+    ):
         rows.append(row)
         if "broken" in row:
             click.echo(f"seed {row['seed']}: {row['broken']}")
             for line in row["history"]:
                 click.echo(f"  {line}")
             break
-    good = [row for row in rows if "broken" not in row]
-    told = {
+    passed = [row for row in rows if "broken" not in row]
+    figures = {
         "members": members,
         "faults": faults,
         "seeds": len(rows),
-        "broken": len(rows) - len(good),
-        "agree_s": spread([row["agree_s"] for row in good]),
-        "detect_s": spread([span for row in good for span in row["detect_s"]]),
-        "all_know_s": spread([span for row in good for span in row["all_know_s"]]),
-        "bytes_per_s": spread([row["bytes_per_s"] for row in good]),
+        "broken": len(rows) - len(passed),
+        "agree_s": percentiles([row["agree_s"] for row in passed]),
+        "detect_s": percentiles([span for row in passed for span in row["detect_s"]]),
+        "all_know_s": percentiles([span for row in passed for span in row["all_know_s"]]),
+        "bytes_per_s": percentiles([row["bytes_per_s"] for row in passed]),
         "rows": rows,
     }
     if out:
-        Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(told), indent=1))
+        Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(figures), indent=1))
     for name in ("agree_s", "detect_s", "all_know_s", "bytes_per_s"):
-        click.echo(f"{name:12} " + "  ".join(f"{key} {value:8.2f}" for key, value in told[name].items()))
-    click.echo(f"{len(good)} of {len(rows)} seeds held")
-    sys.exit(BROKEN if told["broken"] else 0)
+        click.echo(f"{name:12} " + "  ".join(f"{key} {value:8.2f}" for key, value in figures[name].items()))
+    click.echo(f"{len(passed)} of {len(rows)} seeds held")
+    sys.exit(EXIT_INVARIANT_VIOLATED if figures["broken"] else 0)
 
 
 @model.command()
@@ -125,17 +131,17 @@
     show_default=True,
     help="Datagrams of which every fate is played.",
 )
-@_jobs
+@_jobs_option
 def explore(depth: int, jobs: int) -> None:
     """Three members and every fate of the first datagrams after each of five faults."""
-    for case in exploring.CASES:
+    for case in delivery_model.CASES:
         count = 0
-        call = partial(exploring.explore, case)
-        for broken in side_by_side(call, exploring.histories(depth), jobs, 32):
+        function = partial(delivery_model.explore, case)
+        for broken in parallel_map(function, delivery_model.delivery_sequences(depth), jobs, 32):
             count += 1
             if broken:
                 click.echo(broken)
-                sys.exit(BROKEN)
+                sys.exit(EXIT_INVARIANT_VIOLATED)
         click.echo(f"{case:8} {count} histories held")
 
 
@@ -149,23 +155,25 @@
     show_default=True,
     help="Play every order of so many moves of three voters too.",
 )
-@_jobs
+@_jobs_option
 def votes(voters: str, seeds: str, depth: int, jobs: int) -> None:
     """Voters that take one value for each number, under drawn troubles."""
-    agreed = []
-    for row in side_by_side(partial(voting.play, int(voters)), seeds_of(seeds), jobs):
+    agreement_times = []
+    for row in parallel_map(partial(voter_model.run_seed, int(voters)), parse_seeds(seeds), jobs):
         if "broken" in row:
             click.echo(f"seed {row['seed']}: {row['broken']}")
-            sys.exit(BROKEN)
-        agreed.append(row["agree_s"])
-    click.echo("agree_s  " + "  ".join(f"{key} {value:.2f}" for key, value in spread(agreed).items()))
-    click.echo(f"{len(agreed)} seeds held")
+            sys.exit(EXIT_INVARIANT_VIOLATED)
+        agreement_times.append(row["agree_s"])
+    click.echo(
+        "agree_s  " + "  ".join(f"{key} {value:.2f}" for key, value in percentiles(agreement_times).items())
+    )
+    click.echo(f"{len(agreement_times)} seeds held")
     if depth:
-        states, history = voting.explore(depth)
+        states, history = voter_model.explore(depth)
         click.echo(f"{states} states to depth {depth}")
         if history:
             click.echo("\n".join(history))
-            sys.exit(BROKEN)
+            sys.exit(EXIT_INVARIANT_VIOLATED)
 
 
 @model.command()
@@ -173,41 +181,45 @@
 @click.option("--relays", type=click.IntRange(1, 64), default=3, show_default=True, help="In each zone.")
 @click.option("--voters", type=click.Choice(["3", "5", "7"]), default="3", show_default=True)
 @click.option("--seeds", default="1-100", show_default=True, help="A span like 1-100.")
-@_jobs
+@_jobs_option
 def zones(zones: int, relays: int, voters: str, seeds: str, jobs: int) -> None:
     """Zones that are lost, cut off, slow, or come and go, and the plans that voters make of it."""
     rows: list[dict[str, Any]] = []
-    for row in side_by_side(partial(zoning.play, zones, relays, int(voters)), seeds_of(seeds), jobs):
+    for row in parallel_map(
+        partial(zone_model.run_seed, zones, relays, int(voters)), parse_seeds(seeds), jobs
+    ):
         if "broken" in row:
             click.echo(f"seed {row['seed']}: {row['broken']}")
             for line in row["history"]:
                 click.echo(f"  {line}")
-            sys.exit(BROKEN)
+            sys.exit(EXIT_INVARIANT_VIOLATED)
         rows.append(row)
-    for kind in zoning.KINDS:
-        mine = [row for row in rows if row["kinds"] == [kind]]
-        decided = spread([row["decided_s"] for row in mine if row["decided_s"] is not None])
-        told = "  ".join(f"{key} {value:.2f}" for key, value in decided.items())
-        changes = max((row["direction_changes"] for row in mine), default=0)
+    for kind in zone_model.FAULT_KINDS:
+        runs = [row for row in rows if row["kinds"] == [kind]]
+        decided = percentiles([row["decided_s"] for row in runs if row["decided_s"] is not None])
+        text = "  ".join(f"{key} {value:.2f}" for key, value in decided.items())
+        changes = max((row["direction_changes"] for row in runs), default=0)
         click.echo(
-            f"{kind:12} {len(mine):4} alone  decided_s  {told or 'nothing was':24}  at most {changes} changes"
+            f"{kind:12} {len(runs):4} alone  decided_s  {text or 'nothing was':24}  at most {changes} changes"
         )
     click.echo(f"{len(rows)} seeds held")
 
 
-def _sized(seed: int, size: int) -> dict[str, Any]:
+def _measure_size(seed: int, size: int) -> dict[str, Any]:
     """A calm spell, a kill, and a fifth of all datagrams lost, in a fleet of that size."""
-    kill = fleets.Trouble("kill", fleets.TROUBLE, fleets.TROUBLE + SECOND, (size // 2,))
-    settled = size >= fleets.LARGE
-    killed = fleets.Fleet(size, seed, [kill], settled=settled).run()
-    lossy = fleets.Fleet(size, seed, lane=Lane(loss=0.2), settled=settled)
-    lossy.world.run(60 * SECOND)
+    kill = membership_model.Fault(
+        "kill", membership_model.FIRST_FAULT_AT, membership_model.FIRST_FAULT_AT + SECOND, (size // 2,)
+    )
+    prejoined = size >= membership_model.MIN_MEMBERS_PREJOINED
+    killed = membership_model.Fleet(size, seed, [kill], prejoined=prejoined).run()
+    lossy = membership_model.Fleet(size, seed, link=Link(loss=0.2), prejoined=prejoined)
+    lossy.simulation.run(60 * SECOND)
     return {
         "size": size,
         "seed": seed,
-        "detect_s": killed.detected[0] / SECOND,
-        "all_know_s": killed.all_seen[0] / SECOND,
-        "bytes_per_s": killed.bytes_per_s(),
+        "detect_s": killed.detection_times[0] / SECOND,
+        "all_know_s": killed.full_detection_times[0] / SECOND,
+        "bytes_per_s": killed.bytes_per_second(),
         "false_suspicions_per_min": lossy.false_suspicions / size,
         "false_deaths": lossy.false_deaths,
     }
@@ -216,14 +228,14 @@
 @model.command()
 @click.option("--seeds", default="1-5", show_default=True, help="A span like 1-5.")
 @click.option("--most", type=click.IntRange(8, 1000), default=1000, show_default=True)
-@_jobs
+@_jobs_option
 @click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the figures there.")
 @click.option("--plot", type=click.Path(dir_okay=False), help="Draw them into this file.")
 def sizes(seeds: str, most: int, jobs: int, out: str | None, plot: str | None) -> None:
     """Detection time, false suspicions and bytes against the size of the fleet."""
     rows = []
-    for size in (bound for bound in BOUNDS if bound <= most):
-        found = list(side_by_side(partial(_sized, size=size), seeds_of(seeds), jobs))
+    for size in (limit for limit in FLEET_SIZES if limit <= most):
+        found = list(parallel_map(partial(_measure_size, size=size), parse_seeds(seeds), jobs))
         row = {"size": size} | {
             name: float(np.median([one[name] for one in found]))
             for name in found[0]
@@ -235,10 +247,10 @@
     if out:
         Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(rows), indent=1))
     if plot:
-        draw(rows, plot)
+        draw_plot(rows, plot)
 
 
-def draw(rows: list[dict[str, float]], path: str) -> None:
+def draw_plot(rows: list[dict[str, float]], path: str) -> None:
     import matplotlib
 
     matplotlib.use("Agg")
--- a/cedarledge/model/explore.py
+++ b/cedarledge/model/explore.py
@@ -5,36 +5,36 @@
 from collections.abc import Iterator
 from itertools import product
 
-from cedarledge.model.peers import BrokenError, Fleet, Trouble
+from cedarledge.model.peers import Fault, Fleet, InvariantError
 from cedarledge.terms import MS, SECOND
 
 # What may become of a datagram: it comes; it is lost; it comes behind many later ones; it comes twice, the
 # second time late.
-FATES: tuple[tuple[int, ...], ...] = ((MS,), (), (700 * MS,), (MS, 700 * MS))
+DELIVERY_OUTCOMES: tuple[tuple[int, ...], ...] = ((MS,), (), (700 * MS,), (MS, 700 * MS))
 FAULT_AT = 12 * SECOND
 CASES = ("calm", "kill", "restart", "stop", "doubled")
 
 
-def histories(depth: int) -> Iterator[tuple[int, ...]]:
+def delivery_sequences(depth: int) -> Iterator[tuple[int, ...]]:
     """All, as places in FATES; each datagram past the depth comes."""
-    return product(range(len(FATES)), repeat=depth)
+    return product(range(len(DELIVERY_OUTCOMES)), repeat=depth)
 
 
-def explore(case: str, fates: tuple[int, ...], members: int = 3, seed: int = 1) -> str:
+def explore(case: str, outcomes: tuple[int, ...], members: int = 3, seed: int = 1) -> str:
     """Plays one history; what was broken, or nothing."""
     end = FAULT_AT + (8 * SECOND if case == "stop" else SECOND)
-    troubles = [] if case == "calm" else [Trouble(case, FAULT_AT, end, (1,))]
-    fleet = Fleet(members, seed, troubles)
-    left = list(reversed(fates))
+    faults = [] if case == "calm" else [Fault(case, FAULT_AT, end, (1,))]
+    fleet = Fleet(members, seed, faults)
+    remaining = list(reversed(outcomes))
 
-    def fate(_source: str, _target: str, _data: bytes) -> list[int] | None:
-        if fleet.world.now < FAULT_AT or not left:
+    def delivery_override(_source: str, _target: str, _data: bytes) -> list[int] | None:
+        if fleet.simulation.now < FAULT_AT or not remaining:
             return None
-        return list(FATES[left.pop()])
+        return list(DELIVERY_OUTCOMES[remaining.pop()])
 
-    fleet.world.fate = fate
+    fleet.simulation.delivery_override = delivery_override
     try:
         fleet.run()
-    except BrokenError as why:
-        return f"{case} {fates}: {why}"
+    except InvariantError as why:
+        return f"{case} {outcomes}: {why}"
     return ""
--- a/cedarledge/model/votes.py
+++ b/cedarledge/model/votes.py
@@ -7,31 +7,33 @@
 from typing import Any, NamedTuple
 
 from cedarledge.failover.votes import Voter, decode
-from cedarledge.model.peers import BrokenError
-from cedarledge.model.world import Lane, Seat, World
+from cedarledge.model.peers import InvariantError
+from cedarledge.model.simulation import Link, Node, Simulation
 from cedarledge.terms import MS, SECOND
 
 # After the last fault a new value is held by all within this.
-AGREE = 25 * SECOND
-TROUBLED = 30 * SECOND
-KINDS = ("cut", "loss", "slow", "stop", "crash", "forget", "forget_all", "flap")
+AGREEMENT_TIMEOUT = 25 * SECOND
+FAULTS_UNTIL = 30 * SECOND
+FAULT_KINDS = ("cut", "loss", "slow", "stop", "crash", "forget", "forget_all", "flap")
 
 
-class Place(Seat):
+class VoterNode(Node):
     """A voter's seat; its memory outlasts its process if `lasts`."""
 
-    def __init__(self, world: World, register: Register, number: int) -> None:
-        super().__init__(world, f"v{number}")
-        self.register = register
-        self.number = number
-        self.memory: bytes | None = None
+    def __init__(self, simulation: Simulation, cluster: VoterCluster, index: int) -> None:
+        super().__init__(simulation, f"v{index}")
+        self.cluster = cluster
+        self.index = index
+        self.stored_state: bytes | None = None
 
-    def begin(self) -> None:
+    def start_process(self) -> None:
         # What relays that are no voters have heard outlasts all voters.
-        heard = max(self.register.values, default=0)
-        seed = self.world.chance.getrandbits(60)
-        voter = self.register.kind(self, self.number, self.register.count, seed, self.memory, heard)
-        self.machine = Bound(voter)
+        highest_slot = max(self.cluster.chosen_values, default=0)
+        seed = self.simulation.rng.getrandbits(60)
+        voter = self.cluster.voter_type(
+            self, self.index, self.cluster.voter_count, seed, self.stored_state, highest_slot
+        )
+        self.machine = VoterAdapter(voter)
         voter.start()
 
     @property
@@ -40,20 +42,20 @@
 
     # -- the machine's host ------------------------------------------------------------------------
 
-    def send(self, place: int, data: bytes) -> None:  # type: ignore[override]
-        super().send(f"v{place}", data)
+    def send(self, index: int, data: bytes) -> None:  # type: ignore[override]
+        super().send(f"v{index}", data)
 
-    def persist(self, memory: bytes) -> None:
-        self.memory = memory
+    def persist(self, stored_state: bytes) -> None:
+        self.stored_state = stored_state
 
     def approves(self, value: bytes) -> bool:
-        return self.register.agrees(self.number, value)
+        return self.cluster.is_approved(self.index, value)
 
-    def chosen(self, number: int, value: bytes) -> None:
-        self.register.held(self.number, number, value)
+    def chosen(self, slot: int, value: bytes) -> None:
+        self.cluster.record_chosen(self.index, slot, value)
 
 
-class Bound(NamedTuple):
+class VoterAdapter(NamedTuple):
     """A voter as the world calls it: it asks for no time."""
 
     voter: Voter
@@ -65,132 +67,142 @@
         self.voter.timer_expired(token)
 
 
-class Register:
+class VoterCluster:
     """All voters of one world, and what was ever held."""
 
-    def __init__(self, count: int, seed: int, kind: type[Voter] = Voter) -> None:
-        self.count = count
-        self.kind = kind
-        self.world = World(seed)
-        self.chance = random.Random(seed * 77 + 1)
-        self.values: dict[int, bytes] = {}
-        self.latest: dict[int, int] = {}  # by place, of the life that runs
-        self.proposed = 0
-        self.places = [Place(self.world, self, number) for number in range(count)]
-        for place in self.places:
-            self.world.seats[place.address] = place
-            place.begin()
-
-    def held(self, place: int, number: int, value: bytes) -> None:
-        if self.values.setdefault(number, value) != value:
-            raise BrokenError(f"number {number} is {self.values[number]!r} and, at voter {place}, {value!r}")
-        if number <= self.latest.get(place, 0):
-            raise BrokenError(f"voter {place} went back from {self.latest[place]} to {number}")
-        self.latest[place] = number
-
-    def agrees(self, place: int, value: bytes) -> bool:
+    def __init__(self, count: int, seed: int, voter_type: type[Voter] = Voter) -> None:
+        self.voter_count = count
+        self.voter_type = voter_type
+        self.simulation = Simulation(seed)
+        self.rng = random.Random(seed * 77 + 1)
+        self.chosen_values: dict[int, bytes] = {}
+        self.latest_slots: dict[int, int] = {}  # by place, of the life that runs
+        self.proposal_count = 0
+        self.nodes = [VoterNode(self.simulation, self, index) for index in range(count)]
+        for node in self.nodes:
+            self.simulation.nodes_by_address[node.address] = node
+            node.start_process()
+
+    def record_chosen(self, index: int, slot: int, value: bytes) -> None:
+        if self.chosen_values.setdefault(slot, value) != value:
+            raise InvariantError(
+                f"number {slot} is {self.chosen_values[slot]!r} and, at voter {index}, {value!r}"
+            )
+        if slot <= self.latest_slots.get(index, 0):
+            raise InvariantError(f"voter {index} went back from {self.latest_slots[index]} to {slot}")
+        self.latest_slots[index] = slot
+
+    def is_approved(self, index: int, value: bytes) -> bool:
         return True
 
-    def propose(self, place: int) -> None:
-        self.proposed += 1
-        seat = self.places[place]
-        if seat.machine is not None and not seat.stopped:
-            seat.voter.propose(b"plan %d" % self.proposed)
+    def propose(self, index: int) -> None:
+        self.proposal_count += 1
+        node = self.nodes[index]
+        if node.machine is not None and not node.paused:
+            node.voter.propose(b"plan %d" % self.proposal_count)
 
-    def end(self, place: int, remembers: bool) -> None:
-        seat = self.places[place]
-        seat.end()
-        self.latest.pop(place, None)
-        if not remembers:
-            seat.memory = None
+    def kill(self, index: int, keep_state: bool) -> None:
+        node = self.nodes[index]
+        node.kill()
+        self.latest_slots.pop(index, None)
+        if not keep_state:
+            node.stored_state = None
 
-    def start(self, place: int) -> None:
-        if self.places[place].machine is None:
-            self.places[place].begin()
+    def start(self, index: int) -> None:
+        if self.nodes[index].machine is None:
+            self.nodes[index].start_process()
 
     # -- troubles ----------------------------------------------------------------------------------
 
-    def trouble(self) -> None:
+    def inject_fault(self) -> None:
         """One, drawn."""
-        chance, world = self.chance, self.world
-        kind = chance.choice(KINDS)
-        length = chance.randrange(100 * MS, 6 * SECOND)
-        one = chance.randrange(self.count)
+        rng, simulation = self.rng, self.simulation
+        kind = rng.choice(FAULT_KINDS)
+        length = rng.randrange(100 * MS, 6 * SECOND)
+        one = rng.randrange(self.voter_count)
         if kind in ("cut", "loss", "slow"):
-            lane = {
-                "cut": Lane(cut=True),
-                "loss": Lane(loss=0.4, twice=0.2),
-                "slow": Lane(delay=300 * MS, jitter=400 * MS, reorder=0.3, held=3 * SECOND, twice=0.1),
+            link = {
+                "cut": Link(cut=True),
+                "loss": Link(loss=0.4, duplication=0.2),
+                "slow": Link(
+                    delay=300 * MS, jitter=400 * MS, reorder=0.3, reorder_delay=3 * SECOND, duplication=0.1
+                ),
             }[kind]
-            for other in range(self.count):
+            for other in range(self.voter_count):
                 for pair in ((one, other), (other, one)):
-                    if kind != "cut" or chance.random() < 0.6:
+                    if kind != "cut" or rng.random() < 0.6:
                         key = f"v{pair[0]}", f"v{pair[1]}"
-                        world.set_lane(*key, lane)
-                        world.after(length, world.set_lane, *key, None)
+                        simulation.set_link(*key, link)
+                        simulation.call_later(length, simulation.set_link, *key, None)
         elif kind == "stop":
-            self.places[one].stop()
-            world.after(length, self.places[one].go_on)
+            self.nodes[one].pause()
+            simulation.call_later(length, self.nodes[one].resume)
         elif kind == "forget_all":
-            for place in range(self.count):
-                self.end(place, False)
-                world.after(chance.randrange(SECOND), self.start, place)
+            for index in range(self.voter_count):
+                self.kill(index, False)
+                simulation.call_later(rng.randrange(SECOND), self.start, index)
         elif kind == "flap":
             # Twenty times in a minute is one each 3 s.
             for turn in range(4):
-                world.after(turn * 3 * SECOND, self.end, one, chance.random() < 0.5)
-                world.after(turn * 3 * SECOND + chance.randrange(SECOND), self.start, one)
+                simulation.call_later(turn * 3 * SECOND, self.kill, one, rng.random() < 0.5)
+                simulation.call_later(turn * 3 * SECOND + rng.randrange(SECOND), self.start, one)
         else:
-            self.end(one, kind == "crash")
-            world.after(length, self.start, one)
+            self.kill(one, kind == "crash")
+            simulation.call_later(length, self.start, one)
 
-    def run(self) -> Register:
+    def run(self) -> VoterCluster:
         """Raises BrokenError."""
-        world, chance = self.world, self.chance
-        while world.now < TROUBLED:
-            world.run(world.now + chance.randrange(400 * MS))
-            for place in range(self.count):
-                if chance.random() < 0.15:
-                    self.propose(place)
-            if chance.random() < 0.1:
-                self.trouble()
+        simulation, rng = self.simulation, self.rng
+        while simulation.now < FAULTS_UNTIL:
+            simulation.run(simulation.now + rng.randrange(400 * MS))
+            for index in range(self.voter_count):
+                if rng.random() < 0.15:
+                    self.propose(index)
+            if rng.random() < 0.1:
+                self.inject_fault()
         # The longest trouble that was drawn ends by itself.
-        world.run(TROUBLED + 14 * SECOND)
-        for place in range(self.count):
-            self.start(place)
-        over = world.now
+        simulation.run(FAULTS_UNTIL + 14 * SECOND)
+        for index in range(self.voter_count):
+            self.start(index)
+        over = simulation.now
         self.propose(0)
-        while len({(seat.voter.chosen_slot, seat.voter.chosen_value) for seat in self.places}) > 1 or (
-            self.places[0].voter._requested is not None
+        while len({(node.voter.chosen_slot, node.voter.chosen_value) for node in self.nodes}) > 1 or (
+            self.nodes[0].voter._requested is not None
         ):
-            if world.now > over + AGREE:
-                told = [(seat.voter.chosen_slot, seat.voter.floor) for seat in self.places]
-                raise BrokenError(f"{AGREE // SECOND} s after the last fault voters hold {told}")
-            world.run(world.now + 100 * MS)
-            if len(self.values) and world.now - over > 5 * SECOND and self.places[0].voter._requested is None:
+            if simulation.now > over + AGREEMENT_TIMEOUT:
+                told = [(node.voter.chosen_slot, node.voter.floor) for node in self.nodes]
+                raise InvariantError(
+                    f"{AGREEMENT_TIMEOUT // SECOND} s after the last fault voters hold {told}"
+                )
+            simulation.run(simulation.now + 100 * MS)
+            if (
+                len(self.chosen_values)
+                and simulation.now - over > 5 * SECOND
+                and self.nodes[0].voter._requested is None
+            ):
                 # Whoever missed the word hears of it with the next number.
                 self.propose(0)
-        self.agreed = world.now - over
+        self.agreement_time = simulation.now - over
         return self
 
 
-def play(count: int, seed: int, kind: type[Voter] = Voter) -> dict[str, Any]:
+def run_seed(count: int, seed: int, voter_type: type[Voter] = Voter) -> dict[str, Any]:
     try:
-        register = Register(count, seed, kind).run()
-    except BrokenError as why:
+        cluster = VoterCluster(count, seed, voter_type).run()
+    except InvariantError as why:
         return {"seed": seed, "broken": str(why), "history": []}
     return {
         "seed": seed,
-        "agree_s": register.agreed / SECOND,
-        "plans": len(register.values),
-        "messages": sum(place.sent for place in register.places),
+        "agree_s": cluster.agreement_time / SECOND,
+        "plans": len(cluster.chosen_values),
+        "messages": sum(node.sent for node in cluster.nodes),
     }
 
 
 # -- every order of a few messages -----------------------------------------------------------------
 
 
-class Still:
+class ConstantRandom:
     """Chance that never varies: waits don't matter where every order is played."""
 
     def randrange(self, *_: int) -> int:
@@ -200,63 +212,63 @@
         return 0
 
 
-class Hand(NamedTuple):
+class ExplorationHost(NamedTuple):
     """One voter's host in an exploration; what it does is written down."""
 
-    place: int
-    table: Table
+    index: int
+    state: ExplorationState
 
-    def send(self, place: int, data: bytes) -> None:
-        self.table.sent.add((place, data))
+    def send(self, index: int, data: bytes) -> None:
+        self.state.sent.add((index, data))
 
     def set_timer(self, _delay: int, token: int) -> None:
         pass
 
-    def persist(self, memory: bytes) -> None:
-        self.table.kept[self.place] = memory
+    def persist(self, stored_state: bytes) -> None:
+        self.state.stored_states[self.index] = stored_state
 
     def approves(self, value: bytes) -> bool:
         return True
 
-    def chosen(self, number: int, value: bytes) -> None:
-        if self.table.values.setdefault(number, value) != value:
-            raise BrokenError(f"number {number} is {self.table.values[number]!r} and {value!r}")
+    def chosen(self, slot: int, value: bytes) -> None:
+        if self.state.chosen_values.setdefault(slot, value) != value:
+            raise InvariantError(f"number {slot} is {self.state.chosen_values[slot]!r} and {value!r}")
 
 
-class Table:
+class ExplorationState:
     """One state: voters, messages ever sent, memories, what was held. A message stays where it is, so it may
     come late, again, behind others, or never."""
 
-    def __init__(self, kind: type[Voter], lives: int) -> None:
-        self.kind = kind
+    def __init__(self, voter_type: type[Voter], crashes: int) -> None:
+        self.voter_type = voter_type
         self.sent: set[tuple[int, bytes]] = set()
-        self.kept: list[bytes | None] = [None, None, None]
-        self.values: dict[int, bytes] = {}
-        self.crashes = lives
-        self.voters = [self._voter(place, place + 1) for place in range(3)]
+        self.stored_states: list[bytes | None] = [None, None, None]
+        self.chosen_values: dict[int, bytes] = {}
+        self.crashes = crashes
+        self.voters = [self._voter(index, index + 1) for index in range(3)]
         for voter in self.voters:
             voter.floor = 0  # as after a first start that all saw
 
-    def _voter(self, place: int, life: int) -> Voter:
-        voter = self.kind(Hand(place, self), place, 3, 0, self.kept[place])
-        voter.rng, voter.instance_id = Still(), life  # type: ignore[assignment]
+    def _voter(self, index: int, instance_id: int) -> Voter:
+        voter = self.voter_type(ExplorationHost(index, self), index, 3, 0, self.stored_states[index])
+        voter.rng, voter.instance_id = ConstantRandom(), instance_id  # type: ignore[assignment]
         return voter
 
-    def copy(self) -> Table:
+    def copy(self) -> ExplorationState:
         new = copy.copy(self)
-        new.sent, new.kept = set(self.sent), list(self.kept)
-        new.values = dict(self.values)
+        new.sent, new.stored_states = set(self.sent), list(self.stored_states)
+        new.chosen_values = dict(self.chosen_values)
         new.voters = []
         for voter in self.voters:
-            twin = copy.copy(voter)
-            twin.host = Hand(voter.voter_id, new)
-            twin._statuses, twin._promises, twin._accepts = (
+            voter_copy = copy.copy(voter)
+            voter_copy.host = ExplorationHost(voter.voter_id, new)
+            voter_copy._statuses, voter_copy._promises, voter_copy._accepts = (
                 dict(voter._statuses),
                 dict(voter._promises),
                 set(voter._accepts),
             )
-            twin._timers = dict(voter._timers)
-            new.voters.append(twin)
+            voter_copy._timers = dict(voter._timers)
+            new.voters.append(voter_copy)
         return new
 
     def key(self) -> tuple[Any, ...]:
@@ -283,56 +295,56 @@
             )
             for v in self.voters
         )
-        return voters, frozenset(self.sent), tuple(self.kept), self.crashes
+        return voters, frozenset(self.sent), tuple(self.stored_states), self.crashes
 
-    def moves(self) -> list[tuple[str, int, Any]]:
-        moves: list[tuple[str, int, Any]] = [("comes", place, data) for place, data in sorted(self.sent)]
+    def events(self) -> list[tuple[str, int, Any]]:
+        events: list[tuple[str, int, Any]] = [("comes", index, data) for index, data in sorted(self.sent)]
         for voter in self.voters:
             if voter._round < 2 and voter._status_round < 4:
-                moves += [("wakes", voter.voter_id, name) for name in sorted(voter._timers)]
+                events += [("wakes", voter.voter_id, name) for name in sorted(voter._timers)]
         if self.crashes:
-            moves += [(how, 2, None) for how in ("crashes", "forgets")]
-        return moves
+            events += [(event, 2, None) for event in ("crashes", "forgets")]
+        return events
 
-    def move(self, how: str, place: int, data: Any) -> None:
-        voter = self.voters[place]
-        if how == "comes":
+    def apply_event(self, event: str, index: int, data: Any) -> None:
+        voter = self.voters[index]
+        if event == "comes":
             voter.received(data)
-        elif how == "wakes":
+        elif event == "wakes":
             voter.timer_expired(voter._timers[data])
         else:
             self.crashes -= 1
-            if how == "forgets":
-                self.kept[place] = None
-            self.voters[place] = self._voter(place, voter.instance_id + 10)
-            self.voters[place].start()
+            if event == "forgets":
+                self.stored_states[index] = None
+            self.voters[index] = self._voter(index, voter.instance_id + 10)
+            self.voters[index].start()
 
 
 def explore(
-    depth: int, crashes: int = 1, kind: type[Voter] = Voter, most: int = 3_000_000
+    depth: int, crashes: int = 1, voter_type: type[Voter] = Voter, max_states: int = 3_000_000
 ) -> tuple[int, list[str]]:
     """Three voters, two that propose, every order up to so many moves: how many states, and the shortest
     history that breaks, if one does. Breadth first, so that it is the shortest."""
-    first = Table(kind, crashes)
-    for place in (0, 1):
-        first.voters[place].propose(b"plan of %d" % place)
-    level: list[tuple[Table, tuple[str, ...]]] = [(first, ())]
+    first = ExplorationState(voter_type, crashes)
+    for index in (0, 1):
+        first.voters[index].propose(b"plan of %d" % index)
+    level: list[tuple[ExplorationState, tuple[str, ...]]] = [(first, ())]
     seen = {first.key()}
     for _ in range(depth):
         following = []
-        for table, history in level:
-            for how, place, data in table.moves():
-                new = table.copy()
-                said = f"{how} at {place}: {decode(data) if how == 'comes' else data}"
+        for state, history in level:
+            for event, index, data in state.events():
+                new = state.copy()
+                step = f"{event} at {index}: {decode(data) if event == 'comes' else data}"
                 try:
-                    new.move(how, place, data)
-                except BrokenError as why:
-                    return len(seen), [*history, said, str(why)]
+                    new.apply_event(event, index, data)
+                except InvariantError as why:
+                    return len(seen), [*history, step, str(why)]
                 key = new.key()
                 if key not in seen:
                     seen.add(key)
-                    following.append((new, (*history, said)))
+                    following.append((new, (*history, step)))
         level = following
-        if len(seen) > most:
-            raise MemoryError(f"over {most} states at depth {_ + 1}")
+        if len(seen) > max_states:
+            raise MemoryError(f"over {max_states} states at depth {_ + 1}")
     return len(seen), []
--- a/cedarledge/scale/membership.py
+++ b/cedarledge/scale/membership.py
@@ -14,8 +14,8 @@
 import numpy as np
 
 from cedarledge import __version__
-from cedarledge.model.peers import Fleet, Place, Trouble
-from cedarledge.model.world import Lane
+from cedarledge.model.peers import Fault, Fleet, MemberNode
+from cedarledge.model.simulation import Link
 from cedarledge.peers.machine import METADATA_INTERVAL, METADATA_INTERVAL_PER_MEMBER, Membership
 from cedarledge.peers.messages import MemberUpdate, MetadataValue, State, decode, encode
 from cedarledge.scale.target import REGIONS, ZONES
@@ -51,15 +51,15 @@
         self.fleet = fleet
         self.origin = origin
         self.value = value
-        self.began = fleet.world.now
+        self.began = fleet.simulation.now
         self.known: dict[str, int] = {}
 
-    def acted(self, place: Place) -> None:
-        if place.peers is None or place.name in self.known:
+    def acted(self, place: MemberNode) -> None:
+        if place.membership is None or place.name in self.known:
             return
-        member = place.peers.members.get(self.origin)
+        member = place.membership.members.get(self.origin)
         if member is not None and member.metadata.get("state", (0, ""))[1] == self.value:
-            self.known[place.name] = self.fleet.world.now - self.began
+            self.known[place.name] = self.fleet.simulation.now - self.began
 
     def times(self, others: int) -> list[float]:
         """Of the first member and of each share of them; at most as long as is waited."""
@@ -74,28 +74,28 @@
     """One fleet of a size, with a share of all datagrams lost; `changing`: records change all the time."""
     calm = int(calm_seconds * SECOND)
     kill_at = WARM_UP + calm + CHANGE_AWAITED
-    kill = Trouble("kill", kill_at, kill_at + SECOND, (size // 2,))
-    fleet = Fleet(size, seed, [kill], lane=Lane(loss=loss), settled=True)
-    fleet.world.acted = _nothing
+    kill = Fault("kill", kill_at, kill_at + SECOND, (size // 2,))
+    fleet = Fleet(size, seed, [kill], link=Link(loss=loss), prejoined=True)
+    fleet.simulation.on_action = _nothing
     _tell_records(fleet, changing)
-    fleet.world.run(WARM_UP)
+    fleet.simulation.run(WARM_UP)
     bytes_before, messages_before = _sent(fleet)
     false_before = fleet.false_suspicions
     processor_before = time.process_time_ns()
-    fleet.world.run(WARM_UP + calm)
+    fleet.simulation.run(WARM_UP + calm)
     processor = time.process_time_ns() - processor_before
     bytes_after, messages_after = _sent(fleet)
     member_seconds = size * calm / SECOND
     false_suspicions = fleet.false_suspicions - false_before
     change = _change(fleet)
-    fleet.world.run(kill_at + DEATH_AWAITED)
+    fleet.simulation.run(kill_at + DEATH_AWAITED)
     return MembershipSample(
         (bytes_after - bytes_before) / member_seconds,
         (messages_after - messages_before) / member_seconds,
         processor / MS / member_seconds,
         *change,
-        (fleet.detected or [DEATH_AWAITED])[0] / SECOND,
-        (fleet.all_seen or [DEATH_AWAITED])[0] / SECOND,
+        (fleet.detection_times or [DEATH_AWAITED])[0] / SECOND,
+        (fleet.full_detection_times or [DEATH_AWAITED])[0] / SECOND,
         false_suspicions / member_seconds * 60,
     )
 
@@ -103,17 +103,17 @@
 def _tell_records(fleet: Fleet, changing: bool) -> None:
     """All hold the records that relays tell of themselves, which may go on changing as connections come and
     go."""
-    for place in fleet.places:
-        place.peers.set_metadata(place.now, **_record(place.number, place.number))
-    told = [place.peers.own_update() for place in fleet.places]
-    for place in fleet.places:
+    for place in fleet.nodes:
+        place.membership.set_metadata(place.now, **_record(place.index, place.index))
+    told = [place.membership.own_update() for place in fleet.nodes]
+    for place in fleet.nodes:
         for news in told:
             if news.name != place.name:
-                place.peers._apply_update(news)
-        place.peers._broadcasts.clear()
-        _retell_out_of_step(place.peers, len(told))
+                place.membership._apply_update(news)
+        place.membership._broadcasts.clear()
+        _retell_out_of_step(place.membership, len(told))
         if changing:
-            fleet.world.after(fleet.chance.randrange(TELL_EVERY), _tell_again, fleet, place)
+            fleet.simulation.call_later(fleet.rng.randrange(TELL_EVERY), _tell_again, fleet, place)
 
 
 def _retell_out_of_step(peers: Membership, size: int) -> None:
@@ -125,12 +125,12 @@
     peers._schedule(peers.rng.randrange(span), peers._republish_metadata)
 
 
-def _tell_again(fleet: Fleet, place: Place) -> None:
+def _tell_again(fleet: Fleet, place: MemberNode) -> None:
     if place.machine is None:
         return
-    load = fleet.chance.randrange(90_000, 97_000)
-    place.peers.set_metadata(place.now, tunnels=load, newcomers=load / 1800)
-    fleet.world.after(TELL_EVERY, _tell_again, fleet, place)
+    load = fleet.rng.randrange(90_000, 97_000)
+    place.membership.set_metadata(place.now, tunnels=load, newcomers=load / 1800)
+    fleet.simulation.call_later(TELL_EVERY, _tell_again, fleet, place)
 
 
 def _record(number: int, load: int) -> dict[str, MetadataValue]:
@@ -151,17 +151,17 @@
 
 
 def _sent(fleet: Fleet) -> tuple[int, int]:
-    return sum(place.sent_bytes for place in fleet.places), sum(place.sent for place in fleet.places)
+    return sum(place.sent_bytes for place in fleet.nodes), sum(place.sent for place in fleet.nodes)
 
 
 def _change(fleet: Fleet) -> list[float]:
-    origin = fleet.places[0]
+    origin = fleet.nodes[0]
     watch = _ChangeWatch(fleet, origin.name, "away")
-    fleet.world.acted = watch.acted
-    origin.peers.publish_metadata(origin.now, state="away")
-    fleet.world.run(fleet.world.now + CHANGE_AWAITED)
-    fleet.world.acted = _nothing
-    return watch.times(len(fleet.places) - 1)
+    fleet.simulation.on_action = watch.acted
+    origin.membership.publish_metadata(origin.now, state="away")
+    fleet.simulation.run(fleet.simulation.now + CHANGE_AWAITED)
+    fleet.simulation.on_action = _nothing
+    return watch.times(len(fleet.nodes) - 1)
 
 
 class _SilentHost:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,9 +11,17 @@
 from pytest import mark, raises
 
 from cedarledge.model.command import model
-from cedarledge.model.explore import CASES, explore, histories
-from cedarledge.model.peers import FAULTS, TROUBLE, BrokenError, Fleet, Trouble, play, shortest
-from cedarledge.model.world import Lane
+from cedarledge.model.explore import CASES, delivery_sequences, explore
+from cedarledge.model.peers import (
+    FAULT_KINDS,
+    FIRST_FAULT_AT,
+    Fault,
+    Fleet,
+    InvariantError,
+    run_seed,
+    shrink_failure,
+)
+from cedarledge.model.simulation import Link
 from cedarledge.peers.machine import MAX_MEMBERS, MAX_RELAYED_PROBES, Membership
 from cedarledge.peers.messages import (
     COUNTER_MODULUS,
@@ -229,10 +237,10 @@
     """Guards against a fault in which the relay that had the name first went silent."""
     for seed in range(6):
         fleet = Fleet(5, seed)
-        fleet.world.run(TROUBLE)
-        second = fleet._anew("relay-3")
-        fleet.world.run(TROUBLE + 6 * SECOND)
-        assert (fleet.places[3].peers.silent, second.peers.silent) == (False, True)
+        fleet.simulation.run(FIRST_FAULT_AT)
+        second = fleet._start_new_node("relay-3")
+        fleet.simulation.run(FIRST_FAULT_AT + 6 * SECOND)
+        assert (fleet.nodes[3].membership.silent, second.membership.silent) == (False, True)
 
 
 def test_memory_is_bounded_for_any_senders() -> None:
@@ -253,48 +261,51 @@
 
 @mark.parametrize("members,seeds", [(3, range(40)), (5, range(100, 130)), (9, range(12))])
 def test_invariants_hold_under_randomly_drawn_faults(members: int, seeds: range) -> None:
-    broken = [row for row in (play(members, seed) for seed in seeds) if "broken" in row]
+    broken = [row for row in (run_seed(members, seed) for seed in seeds) if "broken" in row]
     assert not broken, broken[0]
 
 
-@mark.parametrize("kind", FAULTS)
+@mark.parametrize("kind", FAULT_KINDS)
 def test_after_each_kind_of_fault_all_views_agree_with_the_truth(kind: str) -> None:
     # Incarnations start one below the modulus, so they wrap around during the fault.
     members = (0, 1, 2) if kind in ("halves", "one_way") else (2,)
     fleet = Fleet(
-        6, 4, [Trouble(kind, TROUBLE, TROUBLE + 12 * SECOND, members)], incarnation=COUNTER_MODULUS - 1
+        6,
+        4,
+        [Fault(kind, FIRST_FAULT_AT, FIRST_FAULT_AT + 12 * SECOND, members)],
+        incarnation=COUNTER_MODULUS - 1,
     ).run()
     if kind in ("loss", "slow", "restart", "all_anew"):
         assert fleet.false_deaths == 0
     if kind == "kill":
-        assert fleet.detected and max(fleet.all_seen) < 8 * SECOND
+        assert fleet.detection_times and max(fleet.full_detection_times) < 8 * SECOND
 
 
 @mark.parametrize("case", CASES)
 def test_every_loss_delay_and_duplication_of_the_first_datagrams_after_a_fault(case: str) -> None:
-    assert not [failure for failure in (explore(case, fates) for fates in histories(3)) if failure]
+    assert not [failure for failure in (explore(case, fates) for fates in delivery_sequences(3)) if failure]
 
 
 def test_a_fleet_of_100_with_churn_and_loss_declares_no_live_member_dead() -> None:
-    trouble = Trouble("churn", TROUBLE, TROUBLE + 30 * SECOND, (4,))
-    fleet = Fleet(100, 1, [trouble], Lane(loss=0.05)).run()
-    assert fleet.false_deaths == 0 and max(fleet.detected) < 12 * SECOND
-    assert max(place.largest for place in fleet.places) <= MAX_DATAGRAM_BYTES
+    trouble = Fault("churn", FIRST_FAULT_AT, FIRST_FAULT_AT + 30 * SECOND, (4,))
+    fleet = Fleet(100, 1, [trouble], Link(loss=0.05)).run()
+    assert fleet.false_deaths == 0 and max(fleet.detection_times) < 12 * SECOND
+    assert max(place.largest_datagram for place in fleet.nodes) <= MAX_DATAGRAM_BYTES
 
 
 def test_the_model_catches_a_state_machine_that_never_refutes_and_shortens_the_history(monkeypatch) -> None:
     monkeypatch.setattr(Membership, "_apply_own_update", lambda *_: None)
     troubles = (
-        Trouble("halves", TROUBLE, TROUBLE + 12 * SECOND, (0, 1)),
-        Trouble("restart", TROUBLE, TROUBLE + SECOND, (3,)),
+        Fault("halves", FIRST_FAULT_AT, FIRST_FAULT_AT + 12 * SECOND, (0, 1)),
+        Fault("restart", FIRST_FAULT_AT, FIRST_FAULT_AT + SECOND, (3,)),
     )
     fleet = Fleet(4, 1, troubles)
-    with raises(BrokenError, match="misses"):
+    with raises(InvariantError, match="misses"):
         fleet.run()
-    assert max(place.sent for place in fleet.places) < 60 * fleet.world.now / SECOND, (
+    assert max(place.sent for place in fleet.nodes) < 60 * fleet.simulation.now / SECOND, (
         "relays do not answer each other's corrections without end"
     )
-    history = shortest(4, 1, troubles)
+    history = shrink_failure(4, 1, troubles)
     assert sum(" from " in line for line in history) == 1 and "BROKEN" in history[-1]
 
 
@@ -302,17 +313,17 @@
     """Guards against a fault of seed 108 with 8 members: an accuser that missed the refutation declared a
     live member dead."""
     fleet = Fleet(24, 1)
-    fleet.world.run(TROUBLE)
-    accuser, accused = fleet.places[4].peers, fleet.places[7]
+    fleet.simulation.run(FIRST_FAULT_AT)
+    accuser, accused = fleet.nodes[4].membership, fleet.nodes[7]
 
     def fate(source: str, target: str, data: bytes) -> list[int] | None:
         about = any(update.name == accused.name for update in decode(data).updates)
         return [] if target == accuser.address and source != accused.address and about else None
 
-    fleet.world.fate = fate
-    accuser.now = fleet.places[4].now
+    fleet.simulation.delivery_override = fate
+    accuser.now = fleet.nodes[4].now
     accuser._suspect(accuser.members[accused.name], accuser.name)
-    fleet.world.run(TROUBLE + 2 * SECOND)
+    fleet.simulation.run(FIRST_FAULT_AT + 2 * SECOND)
     member = accuser.members[accused.name]
     assert (member.state, member.incarnation) == (State.ALIVE, 1)
 
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -16,7 +16,7 @@
     assign_traffic,
     routing_weights,
 )
-from cedarledge.model.zones import Fleet, Trouble, play
+from cedarledge.model.zones import Fault, Fleet, run_seed
 from cedarledge.terms import SECOND
 
 REGIONS = {"a": "north", "b": "north", "c": "south"}
@@ -178,11 +178,13 @@
 @mark.parametrize("shape", [(3, 3, 3, 30), (4, 3, 5, 12), (7, 2, 7, 4)])
 def test_invariants_of_plans_hold_under_randomly_drawn_faults(shape: tuple[int, int, int, int]) -> None:
     zones, relays, voters, seeds = shape
-    broken = [row for row in (play(zones, relays, voters, seed) for seed in range(seeds)) if "broken" in row]
+    broken = [
+        row for row in (run_seed(zones, relays, voters, seed) for seed in range(seeds)) if "broken" in row
+    ]
     assert not broken, broken[0]
 
 
 @mark.parametrize("kind", ["dead", "boxes_dead", "cut", "slow"])
 def test_a_lost_zone_is_decided_within_three_seconds_and_changes_direction_at_most_twice(kind: str) -> None:
-    fleet = Fleet(3, 5, 3, 4, [Trouble(kind, 12 * SECOND, 30 * SECOND, 1)], load=0.4).run()
-    assert fleet.decided < 3 and max(fleet.directions.values()) <= 2
+    fleet = Fleet(3, 5, 3, 4, [Fault(kind, 12 * SECOND, 30 * SECOND, 1)], load=0.4).run()
+    assert fleet.decision_time < 3 and max(fleet.direction_changes.values()) <= 2
--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -8,7 +8,7 @@
 from pytest import mark, raises
 
 from cedarledge.failover.votes import MAX_VALUE_BYTES, NO_BALLOT, Kind, Voter, VoterMessage, encode
-from cedarledge.model.votes import Register, explore, play
+from cedarledge.model.votes import VoterCluster, explore, run_seed
 from cedarledge.terms import SECOND
 
 
@@ -28,7 +28,7 @@
 
 @mark.parametrize("count,seeds", [(3, 60), (5, 25), (7, 8)])
 def test_randomly_drawn_faults_leave_one_value_per_slot_and_end_in_agreement(count: int, seeds: int) -> None:
-    rows = [play(count, seed) for seed in range(seeds)]
+    rows = [run_seed(count, seed) for seed in range(seeds)]
     assert not [row for row in rows if "broken" in row]
     assert sum(row["plans"] for row in rows) > 10 * seeds
 
@@ -39,52 +39,52 @@
 
 
 def test_the_model_catches_faulty_voters() -> None:
-    broken = [play(3, seed, VoterWithoutRecovery) for seed in range(6)]
+    broken = [run_seed(3, seed, VoterWithoutRecovery) for seed in range(6)]
     assert any("number" in row.get("broken", "") for row in broken)
-    states, history = explore(9, crashes=0, kind=VoterIgnoringAcceptedValues)
+    states, history = explore(9, crashes=0, voter_type=VoterIgnoringAcceptedValues)
     assert history and "b'plan of 0'" in history[-1] and len(history) < 11, states
 
 
 def test_two_proposers_that_compete_all_the_time_both_make_progress() -> None:
-    register = Register(3, 5)
-    register.world.run(3 * SECOND)
+    register = VoterCluster(3, 5)
+    register.simulation.run(3 * SECOND)
     for _ in range(60):
         for place in (0, 1):
             register.propose(place)
-        register.world.run(register.world.now + SECOND)
-    assert len(register.values) > 60
+        register.simulation.run(register.simulation.now + SECOND)
+    assert len(register.chosen_values) > 60
 
 
 def test_without_a_majority_nothing_is_chosen_until_a_majority_is_back() -> None:
-    register = Register(3, 2)
-    register.world.run(3 * SECOND)
+    register = VoterCluster(3, 2)
+    register.simulation.run(3 * SECOND)
     for place in (0, 1):
-        register.end(place, False)
+        register.kill(place, False)
     register.propose(2)
-    register.world.run(20 * SECOND)
-    assert not register.values
+    register.simulation.run(20 * SECOND)
+    assert not register.chosen_values
     register.start(0)
-    register.world.run(30 * SECOND)
-    assert not register.values, "a voter without state and one with state are no majority"
+    register.simulation.run(30 * SECOND)
+    assert not register.chosen_values, "a voter without state and one with state are no majority"
     register.start(1)
-    register.world.run(40 * SECOND)
-    assert list(register.values.values()) == [b"plan 1"]
+    register.simulation.run(40 * SECOND)
+    assert list(register.chosen_values.values()) == [b"plan 1"]
 
 
 def test_a_voter_without_stored_state_does_not_vote_on_slots_it_may_have_voted_on() -> None:
-    register = Register(3, 3)
-    register.world.run(3 * SECOND)
+    register = VoterCluster(3, 3)
+    register.simulation.run(3 * SECOND)
     register.propose(0)
-    register.world.run(4 * SECOND)
-    register.end(2, False)
+    register.simulation.run(4 * SECOND)
+    register.kill(2, False)
     register.start(2)
-    register.world.run(8 * SECOND)
-    slot, voter = register.places[0].voter.chosen_slot, register.places[2].voter
+    register.simulation.run(8 * SECOND)
+    slot, voter = register.nodes[0].voter.chosen_slot, register.nodes[2].voter
     assert voter.chosen_slot == slot and voter.floor == slot + 1
     register.propose(0)
     register.propose(1)
-    register.world.run(20 * SECOND)
-    assert voter.chosen_slot >= slot + 2 and len(register.values) == 3
+    register.simulation.run(20 * SECOND)
+    assert voter.chosen_slot >= slot + 2 and len(register.chosen_values) == 3
 
 
 class RecordingHost:
