--- a/cedarledge/rig/run.py
+++ b/cedarledge/rig/run.py
@@ -1,5 +1,8 @@
-"""One run: starts the stand-ins and the relays as processes, plays what the schedule has for relays, and has
-the books judged. One run a process, since a reactor runs once."""
+"""One run: starts the emulated systems and the relays as processes, applies the scheduled events that concern
+relays, and has the event logs judged.
+
+A process makes one run only, since a reactor can run only once.
+"""
 
 from __future__ import annotations
 
@@ -43,32 +46,37 @@
 from cedarledge.standins.worker import LatenessMonitor
 from cedarledge.terms import MS, SECOND
 
-PORTS = (10_000, 28_000)
-# Until the run begins the processes start; more boxes take longer to listen, and relays share the cores.
-START_WITHIN, START_A_PORT, START_A_RELAY = 2500 * MS, MS, 150 * MS
-# After the end of the clients the boxes' processes write what they still see.
-SETTLE = 1500 * MS
-# A relay that was asked to stop is killed after its longest client timeout, 3 s at most, and this.
-KILL_LATER, LONGEST_STOP = 700 * MS, 3 * SECOND
-RESTART_AFTER = 200 * MS
-SAMPLE_EVERY, READY_EVERY = 500 * MS, 50 * MS
-# How much of a relay's log is kept.
-LOG_KEPT = 4 << 20
+# Below the ephemeral ports that Linux assigns by default.
+PORT_RANGE = (10_000, 28_000)
+# Time between the start of the processes and the start of the run. It grows with the number of ports that a
+# process of boxes listens on, and with the number of relays, since relays share the cores.
+STARTUP_TIME, STARTUP_PER_PORT, STARTUP_PER_RELAY = 2500 * MS, MS, 150 * MS
+# After the clients have ended, the processes of the boxes log what they still receive for this long.
+SETTLE_TIME = 1500 * MS
+# A relay that is stopping is killed after its longest client timeout, at most 3 s, and this margin.
+STOP_MARGIN, MAX_STOP_TIME = 700 * MS, 3 * SECOND
+RESTART_DELAY = 200 * MS
+SAMPLE_INTERVAL, READINESS_INTERVAL = 500 * MS, 50 * MS
+# A relay's output beyond this size, in bytes, is discarded.
+MAX_LOG_SIZE = 4 << 20
 
 
 class RunError(Exception):
-    """The run could not be made."""
+    """The run could not be made, or was interrupted."""
 
 
 class TooSlowError(RunError):
-    """This machine did not have the processes ready in time."""
+    """The processes were not ready in time on this machine."""
+
 
+def reserve_port() -> tuple[int, socket.socket]:
+    """Returns a port that no other run on this machine uses, and the bound socket that reserves it.
 
-def free_port() -> tuple[int, socket.socket]:
-    """A port that no other run here uses, and the socket that says so; below those that systems hand out."""
-    chance = random.SystemRandom()
+    Raises RunError if none is found.
+    """
+    rng = random.SystemRandom()
     for _ in range(200):
-        port = chance.randrange(*PORTS, 4)
+        port = rng.randrange(*PORT_RANGE, 4)
         lock = socket.socket()
         try:
             lock.bind(("127.7.0.1", port))
@@ -79,130 +87,166 @@
 
 
 class WorkerProcess(ProcessProtocol):
-    def __init__(self, run: Run, post: ProcessSpec) -> None:
+    """A process of emulated boxes, clients or proxies.
+
+    The process receives its specification on stdin. On stdout it writes `ready`, then lines of JSON with its
+    current figures.
+    """
+
+    def __init__(self, run: Run, spec: ProcessSpec) -> None:
+        """Takes the run that is aborted if the process fails, and the process's specification."""
         self.run = run
-        self.post = post
-        self.ready = self.over = False
-        self.rest = b""
-        self.errors = b""
-        self.last: dict[str, Any] = {}
+        self.spec = spec
+        self.is_ready = self.has_ended = False
+        self.output_buffer = b""
+        self.stderr_tail = b""
+        self.last_figures: dict[str, Any] = {}
 
     def connectionMade(self) -> None:  # noqa: N802
-        self.transport.write(msgspec.json.encode(self.post))
+        """Sends the specification once the process has started."""
+        self.transport.write(msgspec.json.encode(self.spec))
         self.transport.closeStdin()
 
     def outReceived(self, data: bytes) -> None:  # noqa: N802
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        """Reads whole lines of stdout."""
+        *lines, self.output_buffer = (self.output_buffer + data).split(b"\n")
         for line in lines:
             if line == b"ready":
-                self.ready = True
+                self.is_ready = True
             elif line.startswith(b"{"):
-                self.last = json.loads(line)
+                self.last_figures = json.loads(line)
 
     def errReceived(self, data: bytes) -> None:  # noqa: N802
-        self.errors = (self.errors + data)[-20_000:]
+        """Keeps the end of stderr for the error message."""
+        self.stderr_tail = (self.stderr_tail + data)[-20_000:]
 
     def processEnded(self, reason: Any) -> None:  # noqa: N802
-        self.over = True
+        """Aborts the run if the process failed."""
+        self.has_ended = True
         if reason.value.exitCode != 0:
-            self.run.fail(
-                f"a stand-in ({self.post.role} {self.post.part}) ended with {reason.value.exitCode}: "
-                + self.errors.decode(errors="replace")[-3000:]
+            self.run.abort(
+                f"worker process ({self.spec.role} {self.spec.part}) exited with {reason.value.exitCode}: "
+                + self.stderr_tail.decode(errors="replace")[-3000:]
             )
 
 
 class RelayProcess(ProcessProtocol):
-    """One process of a relay, from its start to its end."""
+    """One process of a relay, from its start to its exit."""
 
     def __init__(self, run: Run, relay: int, path: Path) -> None:
+        """Takes the relay's index and the path of the log file that its output is appended to."""
         self.run = run
         self.relay = relay
-        self.began = run.now()
-        self.ready: int | None = None
-        self.how = ""
-        self.cpu = self.peak = 0
+        self.started_at = run.now()
+        self.ready_at: int | None = None
+        self.end_reason = ""  # why the rig ended the process; empty: it has not
+        self.cpu_ns = self.peak_kb = 0
         self.log = path.open("ab")
-        self.over = False
-        self.restarts = False
-        self.due: Timer | None = None
+        self.has_ended = False
+        self.restart_on_exit = False
+        self.kill_timer: Timer | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
-        self._ask()
-        self._sample()
+        """Starts the readiness probes and the resource samples once the process has started."""
+        self._probe_readiness()
+        self._sample_usage()
 
     def errReceived(self, data: bytes) -> None:  # noqa: N802
-        if self.log.tell() < LOG_KEPT:
+        """Appends output to the log, up to MAX_LOG_SIZE."""
+        if self.log.tell() < MAX_LOG_SIZE:
             self.log.write(data)
 
     def outReceived(self, data: bytes) -> None:  # noqa: N802
+        """Logs stdout like stderr."""
         self.errReceived(data)
 
-    def _ask(self) -> None:
-        if self.ready is None and not self.over:
-            ping = PingProbe(self.run.timers, self._answers)
-            connect_to_relay(self.run.reactor, self.relay, self.run.port, ping, lambda _why: None)
-            self.run.timers.after(READY_EVERY, self._ask)
+    def _probe_readiness(self) -> None:
+        if self.ready_at is None and not self.has_ended:
+            ping = PingProbe(self.run.timers, self._on_pong)
+            connect_to_relay(self.run.reactor, self.relay, self.run.port, ping, lambda _reason: None)
+            self.run.timers.after(READINESS_INTERVAL, self._probe_readiness)
 
-    def _answers(self) -> None:
-        if self.ready is None:
-            self.ready = self.run.now()
+    def _on_pong(self) -> None:
+        if self.ready_at is None:
+            self.ready_at = self.run.now()
 
-    def _sample(self) -> None:
-        if self.over:
+    def _sample_usage(self) -> None:
+        if self.has_ended:
             return
-        self.measure()
-        self.run.timers.after(SAMPLE_EVERY, self._sample)
+        self.measure_usage()
+        self.run.timers.after(SAMPLE_INTERVAL, self._sample_usage)
 
-    def measure(self) -> None:
-        """What the system says that it has used: processor time in ns, peak memory in KB."""
+    def measure_usage(self) -> None:
+        """Reads processor time (ns) and peak memory (KB) from /proc; keeps the old values if that fails."""
         with contextlib.suppress(OSError, IndexError, ValueError):
             fields = Path(f"/proc/{self.transport.pid}/stat").read_text().rpartition(")")[2].split()
-            self.cpu = (int(fields[11]) + int(fields[12])) * SECOND // os.sysconf("SC_CLK_TCK")
+            self.cpu_ns = (int(fields[11]) + int(fields[12])) * SECOND // os.sysconf("SC_CLK_TCK")
             for line in Path(f"/proc/{self.transport.pid}/status").read_text().splitlines():
                 if line.startswith("VmHWM"):
-                    self.peak = int(line.split()[1])
+                    self.peak_kb = int(line.split()[1])
 
-    def end(self, how: str, sign: str) -> None:
-        if not self.over:
-            self.measure()
-            self.how = how
+    def terminate(self, end_reason: str, signal_name: str) -> None:
+        """Sends a signal that ends the process (`KILL`, `TERM`) and records the reason."""
+        if not self.has_ended:
+            self.measure_usage()
+            self.end_reason = end_reason
             with contextlib.suppress(Exception):
-                self.transport.signalProcess(sign)
+                self.transport.signalProcess(signal_name)
 
-    def signal_again(self) -> None:
-        """One more of a series: SIGHUP, and SIGTERM where it was told to end. One that is only starting could
-        not have been told to before."""
-        if self.over or self.ready is None:
+    def resend_signals(self) -> None:
+        """Sends SIGHUP, and SIGTERM again if the process is stopping.
+
+        A process that is still starting gets none: no operator could have signalled it yet.
+        """
+        if self.has_ended or self.ready_at is None:
             return
-        for sign in ("HUP", "TERM") if self.how == "stopped" else ("HUP",):
+        for signal_name in ("HUP", "TERM") if self.end_reason == "stopped" else ("HUP",):
             with contextlib.suppress(Exception):
-                self.transport.signalProcess(sign)
+                self.transport.signalProcess(signal_name)
 
     def stop(self) -> None:
-        """A planned end; a relay that takes too long over it is killed, and that counts as a crash."""
-        self.restarts = True
-        self.end("stopped", "TERM")
-        longest = max(profile.client_timeout for profile in self.run.plan.profiles)
-        self.due = self.run.timers.after(min(LONGEST_STOP, longest) + KILL_LATER, self.end, "overran", "KILL")
+        """Stops the relay by SIGTERM and starts it again after its exit.
+
+        A relay that does not stop in time is killed, which counts as a crash.
+        """
+        self.restart_on_exit = True
+        self.terminate("stopped", "TERM")
+        longest_timeout = max(profile.client_timeout for profile in self.run.plan.profiles)
+        self.kill_timer = self.run.timers.after(
+            min(MAX_STOP_TIME, longest_timeout) + STOP_MARGIN, self.terminate, "overran", "KILL"
+        )
 
     def processEnded(self, reason: Any) -> None:  # noqa: N802
-        self.over = True
-        self.run.timers.cancel(self.due)
+        """Logs the process's lifetime as an event and restarts the relay after a planned stop."""
+        self.has_ended = True
+        self.run.timers.cancel(self.kill_timer)
         code = reason.value.exitCode
         code = -(reason.value.signal or 0) if code is None else code
-        how = self.how
-        if not how or how == "overran" or (how == "stopped" and code != 0):
-            how = "crashed"
-        self.run.book.write(
-            RelayLifetime(self.relay, self.began, self.ready, self.run.now(), how, code, self.cpu, self.peak)
+        end_reason = self.end_reason
+        if not end_reason or end_reason == "overran" or (end_reason == "stopped" and code != 0):
+            end_reason = "crashed"
+        self.run.event_log.write(
+            RelayLifetime(
+                self.relay,
+                self.started_at,
+                self.ready_at,
+                self.run.now(),
+                end_reason,
+                code,
+                self.cpu_ns,
+                self.peak_kb,
+            )
         )
         self.log.close()
-        if self.restarts:
-            self.run.timers.after(RESTART_AFTER, self.run.start_relay, self.relay)
+        if self.restart_on_exit:
+            self.run.timers.after(RESTART_DELAY, self.run.start_relay, self.relay)
 
 
 class Run:
-    """Everything of one run that is not in another process."""
+    """One run: its worker and relay processes, and the emulated discovery service inside this process.
+
+    Times are ns after the run's start, which lies a startup time after the creation of this object.
+    """
 
     def __init__(
         self,
@@ -212,61 +256,74 @@
         folder: Path,
         progress: Callable[[dict[str, Any]], None] | None,
     ) -> None:
+        """Reserves the port, prepares faults and defines the worker processes; `start` starts them.
+
+        `folder` gets all files of the run. `progress` is called each second with the current figures.
+        Raises RunError if no port is free.
+        """
         self.reactor = reactor
         self.plan = plan
         self.variant = variant
         self.folder = folder
         self.progress = progress
-        self.port, self.lock = free_port()
+        self.port, self.port_lock = reserve_port()
         ports = len(plan.boxes) * plan.relays
-        parts = {
+        worker_counts = {
             "boxes": 1 + max(len(plan.boxes) // 80, plan.client_settings.initial_clients // 2500),
             "clients": 1 + plan.client_settings.initial_clients // 1200,
         } | ({"lanes": 1} if plan.peers_enabled or plan.proxied_relays else {})
         self._prepare_faults()
-        lead = START_WITHIN + START_A_PORT * ports // parts["boxes"] + 200 * MS * sum(parts.values())
-        lead += START_A_RELAY * plan.relays
-        self.begin = time.monotonic_ns() + lead
-        self.begin_unix_ms = (time.time_ns() + lead) // MS
+        startup_time = (
+            STARTUP_TIME
+            + STARTUP_PER_PORT * ports // worker_counts["boxes"]
+            + 200 * MS * sum(worker_counts.values())
+        )
+        startup_time += STARTUP_PER_RELAY * plan.relays
+        self.start_time = time.monotonic_ns() + startup_time
+        self.start_unix_ms = (time.time_ns() + startup_time) // MS
         self.timers = Timers(reactor, self.now)
-        self.books = [folder / "rig.book"]
-        self.book = EventLog(self.books[0])
-        self.lateness = LatenessMonitor(self.timers, self.now)
-        stage = ProcessContext(reactor, self.timers, self.now, plan, self.port, self.book)
-        self.discovery = Discovery(stage, self.begin_unix_ms)
+        self.event_log_paths = [folder / "rig.book"]
+        self.event_log = EventLog(self.event_log_paths[0])
+        self.lateness_monitor = LatenessMonitor(self.timers, self.now)
+        context = ProcessContext(reactor, self.timers, self.now, plan, self.port, self.event_log)
+        self.discovery = Discovery(context, self.start_unix_ms)
         self.workers: list[WorkerProcess] = []
         self.relays: dict[int, RelayProcess] = {}
         self.failure: RunError | None = None
-        for role, count in parts.items():
+        for role, count in worker_counts.items():
             for part in range(count):
-                book = folder / f"{role}-{part}.book"
-                self.books.append(book)
+                path = folder / f"{role}-{part}.book"
+                self.event_log_paths.append(path)
                 self.workers.append(
                     WorkerProcess(
                         self,
                         ProcessSpec(
-                            plan, role, part, count, self.port, self.begin, self.begin_unix_ms, str(book)
+                            plan, role, part, count, self.port, self.start_time, self.start_unix_ms, str(path)
                         ),
                     )
                 )
 
     def _prepare_faults(self) -> None:
-        """Wall clocks and system calls of relays, which outlive their processes. Libraries are compiled once
-        and before the run's beginning is set: each takes a tenth of a second."""
-        stepped = {act.index for act in self.plan.events if act.target == "relay" and act.action == "step"}
-        failing = {
-            act.index: act.size
-            for act in self.plan.events
-            if act.target == "relay" and act.action == "system_calls"
+        """Creates the wall clocks and system call faults of relays, which persist over restarts.
+
+        Libraries are compiled once, before the run's start time is set: each takes a tenth of a second.
+        """
+        stepped = {
+            event.index for event in self.plan.events if event.target == "relay" and event.action == "step"
+        }
+        failure_rates = {
+            event.index: event.size
+            for event in self.plan.events
+            if event.target == "relay" and event.action == "system_calls"
         }
         clock_library = compile_library("wall_clock", self.folder) if stepped else None
-        calls_library = compile_library("system_calls", self.folder) if failing else None
+        calls_library = compile_library("system_calls", self.folder) if failure_rates else None
         self.clocks = {
             relay: WallClock(self._fault_folder(relay), clock_library) for relay in sorted(stepped)
         }
         self.system_calls = {
             relay: SystemCallFaults(self._fault_folder(relay), self.plan.seed, rate, library=calls_library)
-            for relay, rate in failing.items()
+            for relay, rate in failure_rates.items()
         }
 
     def _fault_folder(self, relay: int) -> Path:
@@ -275,14 +332,16 @@
         return folder
 
     def now(self) -> int:
-        return time.monotonic_ns() - self.begin
+        """Returns the time since the run's start in ns; negative before it."""
+        return time.monotonic_ns() - self.start_time
 
     def start(self) -> None:
+        """Starts discovery, the workers and the relays, and schedules the start of the run."""
         self.discovery.open()
         if self.plan.peers_enabled:
-            from cedarledge.rig.looks import Looks
+            from cedarledge.rig.membership_sampler import MembershipSampler
 
-            Looks(self, self.plan.operator["peers"]["fleet"]).open()
+            MembershipSampler(self, self.plan.operator["peers"]["fleet"]).open()
         for worker in self.workers:
             self.reactor.spawnProcess(
                 worker,
@@ -292,25 +351,28 @@
             )
         for relay in range(self.plan.relays):
             self.start_relay(relay)
-        self.timers.after(-self.now(), self._begin)
+        self.timers.after(-self.now(), self._begin_run)
 
-    def start_relay(self, relay: int, under: int | None = None) -> None:
-        """`under`: with the name of that other one."""
+    def start_relay(self, relay: int, named_as: int | None = None) -> None:
+        """Starts a relay's process, under the name of the relay `named_as` if that is given.
+
+        Does nothing if the relay runs, or after the end or failure of the run.
+        """
         if self.now() >= self.plan.seconds * SECOND or self.failure is not None:
             return
         running = self.relays.get(relay)
-        if running is not None and not running.over:
-            return  # it was started by another fault, or comes back from its planned stop
-        name = f"n{relay if under is None else under}"
+        if running is not None and not running.has_ended:
+            return  # started by another fault already, or in a planned stop that restarts it
+        name = f"n{relay if named_as is None else named_as}"
         path = self.folder / f"relay-{relay}.json"
-        chance = random.Random(self.plan.seed * 7919 + relay * 31 + (self.now() > 0))
+        rng = random.Random(self.plan.seed * 7919 + relay * 31 + (self.now() > 0))
         path.write_text(
             json.dumps(
                 {
                     "name": name,
                     "listen": f"{relay_address(relay)}:{self.port}",
-                    "discovery": f"{self._discovery(relay)}:{self.port}",
-                    "seed": f"{chance.getrandbits(64):016x}",
+                    "discovery": f"{self._discovery_host(relay)}:{self.port}",
+                    "seed": f"{rng.getrandbits(64):016x}",
                     "limits": {"cores": 1.0, "memory_mb": self.plan.memory_mb, "sockets": self.plan.sockets},
                     "known": self.discovery.initial_list(relay),
                     "settings": self.plan.settings
@@ -324,16 +386,16 @@
         env |= merge_environments(*(fault.environment() for fault in faults if fault is not None))
         command = self.variant.command
         if self.plan.operator and self.variant.takes_file:
-            command = [*command, "relay", "--file", self._operator_file(relay)]
+            command = [*command, "relay", "--file", self._write_operator_file(relay)]
         self.reactor.spawnProcess(process, command[0], command, env=env, path=self.variant.cwd)
 
-    def _discovery(self, relay: int) -> str:
+    def _discovery_host(self, relay: int) -> str:
         return (discovery_proxy_address if relay in self.plan.proxied_relays else discovery_address)(relay)
 
-    def _operator_file(self, relay: int) -> str:
-        told = dict(self.plan.operator)
+    def _write_operator_file(self, relay: int) -> str:
+        tables = dict(self.plan.operator)
         if self.plan.peers_enabled:
-            told["peers"] = told["peers"] | {
+            tables["peers"] = tables["peers"] | {
                 "region": "region-"
                 f"{self.plan.zones.region_of_zone(self.plan.zones.zone_of_relay(relay)) + 1}",
                 "listen": f"{peer_address(relay)}:{self.port}",
@@ -341,91 +403,97 @@
                 "seeds": [f"{peer_proxy_address(seed)}:{self.port}" for seed in range(3)],
             }
         path = self.folder / f"operator-{relay}.toml"
-        path.write_bytes(msgspec.toml.encode(told))
+        path.write_bytes(msgspec.toml.encode(tables))
         return str(path)
 
-    def _begin(self) -> None:
-        slow = [worker for worker in self.workers if not worker.ready]
-        if slow:
-            self.fail(f"{len(slow)} of {len(self.workers)} stand-ins were not ready in time", TooSlowError)
+    def _begin_run(self) -> None:
+        unready_workers = [worker for worker in self.workers if not worker.is_ready]
+        if unready_workers:
+            self.abort(
+                f"{len(unready_workers)} of {len(self.workers)} worker processes were not ready in time",
+                TooSlowError,
+            )
             return
-        unready = [relay for relay, process in self.relays.items() if process.ready is None]
-        if unready:
-            self.fail(f"relays {unready} were not ready in time; --keep keeps their logs", TooSlowError)
+        unready_relays = [relay for relay, process in self.relays.items() if process.ready_at is None]
+        if unready_relays:
+            self.abort(
+                f"relays {unready_relays} were not ready in time; --keep keeps their logs", TooSlowError
+            )
             return
-        self.lateness.begin()
+        self.lateness_monitor.begin()
         self.discovery.begin()
-        for act in self.plan.events:
-            if act.target == "relay":
-                self.timers.after(act.at - self.now(), self._played, act)
-        self._second(1)
-        self.timers.after(int(self.plan.seconds * SECOND) + 100 * MS - self.now(), self._end)
-
-    def _played(self, act: ScheduledEvent) -> None:
-        process = self.relays[act.index]
-        if act.action == "system_calls":
-            return  # it was started with them
-        if act.action == "kill":
-            process.end("killed", "KILL")
-        elif act.action == "stop":
+        for event in self.plan.events:
+            if event.target == "relay":
+                self.timers.after(event.at - self.now(), self._apply_event, event)
+        self._schedule_progress(1)
+        self.timers.after(int(self.plan.seconds * SECOND) + 100 * MS - self.now(), self._end_run)
+
+    def _apply_event(self, event: ScheduledEvent) -> None:
+        process = self.relays[event.index]
+        if event.action == "system_calls":
+            return  # in effect since the process started
+        if event.action == "kill":
+            process.terminate("killed", "KILL")
+        elif event.action == "stop":
             process.stop()
-        elif act.action == "step":
-            self.clocks[act.index].step(int(act.size))
-        elif act.action == "signal":
-            process.signal_again()
-        elif act.action in ("pause", "resume"):
-            if not process.over:
-                process.transport.signalProcess(signal.SIGSTOP if act.action == "pause" else signal.SIGCONT)
-        elif process.over:
-            self.start_relay(act.index, act.relay if act.relay >= 0 else None)
-
-    def _second(self, second: int) -> None:
-        self.timers.after(second * SECOND + 150 * MS - self.now(), self._tell, second)
-
-    def _tell(self, second: int) -> None:
+        elif event.action == "step":
+            self.clocks[event.index].step(int(event.size))
+        elif event.action == "signal":
+            process.resend_signals()
+        elif event.action in ("pause", "resume"):
+            if not process.has_ended:
+                process.transport.signalProcess(signal.SIGSTOP if event.action == "pause" else signal.SIGCONT)
+        elif process.has_ended:
+            self.start_relay(event.index, event.relay if event.relay >= 0 else None)
+
+    def _schedule_progress(self, second: int) -> None:
+        self.timers.after(second * SECOND + 150 * MS - self.now(), self._report_progress, second)
+
+    def _report_progress(self, second: int) -> None:
         if self.progress is not None:
             self.progress(
                 {
                     "second": second,
                     "of": self.plan.seconds,
-                    "workers": [w.last for w in self.workers],
+                    "workers": [worker.last_figures for worker in self.workers],
                     "relays": {
-                        relay: "down" if process.over else process.how or "up"
+                        relay: "down" if process.has_ended else process.end_reason or "up"
                         for relay, process in self.relays.items()
                     },
                     "list": dict(self.discovery.phases),
                 }
             )
         if second < self.plan.seconds:
-            self._second(second + 1)
+            self._schedule_progress(second + 1)
 
-    def _end(self) -> None:
-        # Stand-ins end a little after the clients, relays after them: who ends first is seen as a cut by the
-        # rest.
-        self.timers.after(SETTLE, self._end_relays)
+    def _end_run(self) -> None:
+        # Clients end first, the other workers a little later, and relays last: the processes that still run
+        # see the end of another one as cut connections.
+        self.timers.after(SETTLE_TIME, self._kill_relays)
 
-    def _end_relays(self) -> None:
+    def _kill_relays(self) -> None:
         for process in self.relays.values():
-            process.restarts = False
-            process.end("over", "KILL")
-        self.timers.after(300 * MS, self._close)
+            process.restart_on_exit = False
+            process.terminate("over", "KILL")
+        self.timers.after(300 * MS, self._stop_when_ended)
 
-    def _close(self) -> None:
-        if not all(process.over for process in (*self.relays.values(), *self.workers)):
-            self.timers.after(100 * MS, self._close)
+    def _stop_when_ended(self) -> None:
+        if not all(process.has_ended for process in (*self.relays.values(), *self.workers)):
+            self.timers.after(100 * MS, self._stop_when_ended)
             return
-        self.book.write(TimerLateness("rig", self.lateness.worst, self.lateness.at))
+        self.event_log.write(TimerLateness("rig", self.lateness_monitor.worst, self.lateness_monitor.at))
         self.reactor.stop()
 
-    def fail(self, why: str, kind: type[RunError] = RunError) -> None:
+    def abort(self, why: str, error_type: type[RunError] = RunError) -> None:
+        """Kills all processes and stops the reactor; `run_plan` raises the first error."""
         if self.failure is not None:
             return
-        self.failure = kind(why)
+        self.failure = error_type(why)
         for process in self.relays.values():
-            process.restarts = False
-            process.end("over", "KILL")
+            process.restart_on_exit = False
+            process.terminate("over", "KILL")
         for worker in self.workers:
-            if not worker.over and worker.transport is not None:
+            if not worker.has_ended and worker.transport is not None:
                 with contextlib.suppress(Exception):
                     worker.transport.signalProcess("KILL")
         if self.reactor.running:
@@ -438,7 +506,12 @@
     progress: Callable[[dict[str, Any]], None] | None = None,
     keep: Path | None = None,
 ) -> Verdict:
-    """Makes the run and judges it; `keep` is a folder for its books and the relays' logs. Raises RunError."""
+    """Makes a run and returns the verdict on it.
+
+    `progress` is called each second with the current figures. `keep` is a folder that event logs and relays'
+    logs stay in; without it they are deleted. Raises RunError, or PreloadBuildError if a library of a fault
+    cannot be compiled.
+    """
     reactor = install_reactor()
 
     with contextlib.ExitStack() as stack:
@@ -448,15 +521,15 @@
             folder = keep
             folder.mkdir(parents=True, exist_ok=True)
         run = Run(reactor, plan, variant, folder, progress)
-        # Ctrl-C ends what was started here, and nothing else.
-        previous = signal.signal(signal.SIGINT, lambda *_: reactor.callFromThread(run.fail, "interrupted"))
+        # Ctrl-C ends the processes that this run started, and no others.
+        previous = signal.signal(signal.SIGINT, lambda *_: reactor.callFromThread(run.abort, "interrupted"))
         reactor.callWhenRunning(run.start)
         reactor.run(installSignalHandlers=True)
         signal.signal(signal.SIGINT, previous)
-        run.book.close()
-        run.lock.close()
+        run.event_log.close()
+        run.port_lock.close()
         for clock in run.clocks.values():
             clock.close()
         if run.failure is not None:
             raise run.failure
-        return Judge(plan, read_event_logs(run.books)).verdict()
+        return Judge(plan, read_event_logs(run.event_log_paths)).verdict()
