--- a/cedarledge/rig/scenario.py
+++ b/cedarledge/rig/scenario.py
@@ -1,4 +1,7 @@
-"""What a scenario file may say, checked into immutable values; times here are seconds."""
+"""The schema of scenario files, which are validated into immutable values.
+
+Times are in seconds unless a name ends in `_ms`. Field names are the keys of the files.
+"""
 
 from __future__ import annotations
 
@@ -14,9 +17,9 @@
 from cedarledge.operator.tables import BadFileError, read_raw, read_tables
 from cedarledge.standins.plan import MAX_BOXES, MAX_RELAYS
 
-Share = Annotated[float, Meta(ge=0, le=1)]
-Above = Annotated[float, Meta(gt=0)]
-NotBelow = Annotated[float, Meta(ge=0)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
+Positive = Annotated[float, Meta(gt=0)]
+NonNegative = Annotated[float, Meta(ge=0)]
 FaultKind = Literal[
     "slow",
     "hang",
@@ -59,36 +62,37 @@
     "signals",
     "system_calls",
 ]
-# Kinds whose boxes come back from nothing.
-RESTARTS = frozenset(("crash", "drain", "elsewhere"))
+# Fault kinds whose boxes restart without state.
+RESTARTING_KINDS = frozenset(("crash", "drain", "elsewhere"))
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One trouble: when, for how long, on which part of the fleet, how bad."""
+    """One injected fault: its kind, time, duration, extent and magnitude."""
 
     kind: FaultKind
-    start: NotBelow
-    length: Above = 8.0
-    share: Share = 0.25  # of the boxes, relays or clients it is about
-    size: Annotated[tuple[float, ...], Meta(min_length=1, max_length=2)] = (1.0,)  # one figure, or a range
-    reach: Share = 0.3  # of the boxes, on whose ways from those relays it is
-    to: Literal["boxes", "list"] = "boxes"  # which ways, of those that go to no relay
-    period: NotBelow = 0.0  # comes and goes: half of it on, half off; 0: on all the time
+    start: NonNegative
+    length: Positive = 8.0
+    share: Fraction = 0.25  # of the boxes, relays or clients that the kind affects
+    # One value, or a range to draw from.
+    size: Annotated[tuple[float, ...], Meta(min_length=1, max_length=2)] = (1.0,)
+    reach: Fraction = 0.3  # share of the boxes whose links to the affected relays have the fault
+    to: Literal["boxes", "list"] = "boxes"  # which links of the relays, for the `way_` kinds
+    period: NonNegative = 0.0  # the fault alternates, on for half a period and off for half; 0: always on
 
 
 class Profile(msgspec.Struct, frozen=True):
-    """One profile of clients."""
+    """One request class: how its clients behave and what they expect of the relay."""
 
     name: Annotated[str, Meta(min_length=1, max_length=60, pattern="^[a-z0-9-]+$")]
-    share: Above
+    share: Positive  # of all clients, relative to the other profiles
     effect: Literal["pure", "token", "side_effect"] = "pure"
     group: Literal["all", "zone", "cell"] = "all"
-    window: Above = 2.0
-    setup_goal: Above = 0.3
+    window: Positive = 2.0
+    setup_goal: Positive = 0.3
     client_timeout: Annotated[float, Meta(ge=0.2, le=10)] = 1.5
-    message_goal: Above = 0.15
-    credit: NotBelow = 1.0
-    weight: Above = 1.0  # load of an open connection, against the others
+    message_goal: Positive = 0.15
+    credit: NonNegative = 1.0
+    weight: Positive = 1.0  # load of an open connection, relative to the other profiles
 
 
 PROFILES = (
@@ -100,69 +104,69 @@
 
 
 class Clients(msgspec.Struct, frozen=True):
-    """How clients behave."""
+    """Behaviour of all clients."""
 
-    line_every: Above = 1.0
+    line_every: Positive = 1.0  # interval of a client's messages
     retries: Annotated[int, Meta(ge=0, le=20)] = 2
-    backoff: NotBelow = 0.1
-    come_back: Above = 3.0
-    keys: Annotated[int, Meta(ge=1)] = 400
+    backoff: NonNegative = 0.1
+    come_back: Positive = 3.0  # mean delay until a client returns after its last retry
+    keys: Annotated[int, Meta(ge=1)] = 400  # number of distinct keys
 
 
 class BoxKind(msgspec.Struct, frozen=True):
-    """One kind of feed box."""
+    """One type of emulated backend."""
 
     name: str
-    share: Above
-    cores: Above = 2.0
-    speed: Above = 1.0
-    spread: Share = 0.1  # of speeds within the kind
-    cap: Annotated[int, Meta(ge=1)] = 1500
+    share: Positive  # of all boxes, relative to the other types
+    cores: Positive = 2.0
+    speed: Positive = 1.0  # of one core
+    spread: Fraction = 0.1  # speeds vary by up to this share within the type
+    cap: Annotated[int, Meta(ge=1)] = 1500  # most open connections
 
 
 class Boxes(msgspec.Struct, frozen=True):
-    """How boxes work."""
-
-    message_ms: Above = 8.0
-    setup_ms: Above = 4.0
-    round_trip_ms: NotBelow = 2.0
-    queue_s: Above = 1.0
-    refresh_s: Above = 0.8
-    behind_s: NotBelow = 0.2
-    cold_from: Share = 0.35
-    warm_within_s: Above = 8.0
-    fall_multiple: Above = 3.0
-    fall_span_s: Above = 1.5
-    fallen_for_s: Above = 3.0
-    move_after_s: Above = 6.0
-    per_cell: Annotated[int, Meta(ge=1)] = 6
+    """Behaviour of all boxes. A cold box that is overloaded for too long fails and restarts."""
+
+    message_ms: Positive = 8.0  # processing time of a message on an idle core of speed 1
+    setup_ms: Positive = 4.0  # work of a new connection on one core of speed 1
+    round_trip_ms: NonNegative = 2.0  # time of a setup on top of its work
+    queue_s: Positive = 1.0  # backlog of work beyond which new connections are rejected
+    refresh_s: Positive = 0.8  # interval of load reports
+    behind_s: NonNegative = 0.2  # delay of load reports
+    cold_from: Fraction = 0.35  # share of its capacity that a box has right after its start
+    warm_within_s: Positive = 8.0  # until it has its full capacity
+    fall_multiple: Positive = 3.0  # a cold box fails if the load is this multiple of its capacity
+    fall_span_s: Positive = 1.5  # for this long
+    fallen_for_s: Positive = 3.0  # and restarts after this time
+    move_after_s: Positive = 6.0  # from the start of a drain until the box sends its clients away
+    per_cell: Annotated[int, Meta(ge=1)] = 6  # boxes
     zones: Annotated[int, Meta(ge=1, le=16)] = 2
     kind: tuple[BoxKind, ...] = (BoxKind("full", 0.67), BoxKind("lite", 0.33, speed=0.6))
 
 
 class Zones(msgspec.Struct, frozen=True):
-    """How far the zones of `box.zones` are from each other. A trip goes there and back."""
+    """Round-trip times between the zones that `box.zones` counts."""
 
     regions: Annotated[int, Meta(ge=1, le=16)] = 1
     trip_ms: Annotated[float, Meta(ge=0, le=1000)] = 0.0
     region_trip_ms: Annotated[float, Meta(ge=0, le=1000)] = 0.0
-    home: bool = False  # clients have a home zone
+    home: bool = False  # each client has a home zone and prefers its relays
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """One scenario file."""
+    """The contents of one scenario file."""
 
     title: Annotated[str, Meta(min_length=1)]
     about: str = ""
     name: str = ""
     seconds: Annotated[float, Meta(ge=4, le=3600)] = 24.0
-    warm_up: NotBelow = 6.0  # service counts from then on; the rules count throughout
+    warm_up: NonNegative = 6.0  # service is measured from then on; rules are checked throughout
     relays: Annotated[int, Meta(ge=1, le=MAX_RELAYS)] = 2
     boxes: Annotated[int, Meta(ge=1, le=MAX_BOXES)] = 12
-    rate: Above = 30.0  # newcomers a second
-    life: Above = 12.0  # mean seconds that a client stays
-    load: Above = 0.45  # asked of the fleet over what it can do, with everybody there
-    drain_grace: Above = 0.25
+    rate: Positive = 30.0  # new clients per second
+    life: Positive = 12.0  # mean time that a client stays
+    load: Positive = 0.45  # of the fleet relative to its capacity, once all initial clients are connected
+    drain_grace: Positive = 0.25
     sockets: Annotated[int, Meta(ge=128)] = 4096
     probes: bool = True
     profile: Annotated[tuple[Profile, ...], Meta(min_length=1)] = PROFILES
@@ -170,18 +174,19 @@
     box: Boxes = Boxes()
     zones: Zones = Zones()
     fault: tuple[Fault, ...] = ()
-    # The operator file of each relay; where peers are on the rig fills in their addresses.
+    # Contents of each relay's operator file. If peers are on, the rig adds their addresses.
     operator: OperatorFile = OperatorFile()
 
     def __post_init__(self) -> None:
+        """Checks constraints that involve several fields. Raises ValueError."""
         if self.warm_up >= self.seconds:
-            raise ValueError(f"warm_up: {self.warm_up:g} s leave nothing of {self.seconds:g} s")
+            raise ValueError(f"warm_up: {self.warm_up:g} s is not shorter than the run, {self.seconds:g} s")
         if self.zones.regions > self.box.zones:
             raise ValueError(f"zones.regions: {self.zones.regions} of {self.box.zones} zones")
         names = [profile.name for profile in self.profile]
         for name in names:
             if names.count(name) > 1:
-                raise ValueError(f"profile: {name!r} is there twice")
+                raise ValueError(f"profile: {name!r} is defined twice")
         for number, fault in enumerate(self.fault):
             if fault.kind.startswith("peers_") and not self.operator.peers.on:
                 raise ValueError(f"fault[{number}].kind: {fault.kind!r} is nothing without operator.peers.on")
@@ -192,7 +197,7 @@
 
 
 def without_operator(scenario: Scenario) -> Scenario:
-    """The same with nothing on; faults on ways that are not there then are left out."""
+    """Returns the scenario without its operator file and without faults between peers, which need it."""
     return msgspec.structs.replace(
         scenario,
         operator=OperatorFile(),
@@ -201,18 +206,18 @@
 
 
 def shipped_scenarios() -> dict[str, Path]:
-    """The scenarios that come with the package, by name."""
+    """Returns the paths of the scenarios that come with the package, by name."""
     folder = Path(str(files("cedarledge.rig") / "scenarios"))
     return {path.stem: path for path in sorted(folder.glob("*.toml"))}
 
 
 def load_scenario(name_or_path: str) -> Scenario:
-    """A shipped scenario by its name, or a file. Raises BadFileError."""
-    known = shipped_scenarios()
-    path = known.get(name_or_path, Path(name_or_path))
-    if name_or_path not in known and not path.exists():
+    """Returns a shipped scenario by its name, or one from a file. Raises BadFileError."""
+    shipped = shipped_scenarios()
+    path = shipped.get(name_or_path, Path(name_or_path))
+    if name_or_path not in shipped and not path.exists():
         raise BadFileError(
-            [f"{name_or_path}: no such file, and no scenario of that name; `rig list` has them"]
+            [f"{name_or_path}: no such file, and no scenario of that name; `rig list` shows the names"]
         )
     raw = read_raw(path)
     with contextlib.suppress(KeyError, TypeError, AttributeError):
