--- a/cedarledge/net/backends.py
+++ b/cedarledge/net/backends.py
@@ -124,9 +124,9 @@
         self._connecting: Deferred | None = None
         self._next_try: Timer | None = None
 
-    def connect(self, within: int, pending_reads_first: bool = True) -> None:
-        """Starts to connect, for at most `within` ns."""
-        self.set_deadline(within, self._cancel_connect, pending_reads_first)
+    def connect(self, timeout: int, pending_reads_first: bool = True) -> None:
+        """Starts to connect, for at most `timeout` ns."""
+        self.set_deadline(timeout, self._cancel_connect, pending_reads_first)
         self._start_connect()
 
     def _start_connect(self) -> None:
@@ -308,7 +308,7 @@
         if self.up:
             self._write()
         else:
-            self.connect(self.backends.connect_within)
+            self.connect(self.backends.connect_timeout)
 
     def on_connected(self) -> None:
         """Writes the probe for which the connection was opened."""
@@ -375,7 +375,7 @@
         on_probe_over: ProbeCallback,
         reader: ReportReader,
         probe_latencies: ProbeLatencies,
-        connect_within: int,
+        connect_timeout: int,
         probe_timeout: int,
         idle_timeout: int,
         probe_word: bytes,
@@ -386,7 +386,7 @@
         self.on_probe_over = on_probe_over
         self.reader = reader
         self.probe_latencies = probe_latencies
-        self.connect_within = connect_within
+        self.connect_timeout = connect_timeout
         self.probe_timeout = probe_timeout
         self.idle_timeout = idle_timeout
         self.probe_word = probe_word
@@ -399,12 +399,12 @@
         address: Address,
         line_for_backend: Callable[[int], bytes],
         timeout: int,
-        connect_within: int,
+        connect_timeout: int,
     ) -> SetupConnection:
         """Starts a setup that ends within `timeout` ns. Raises NoFreeSlotError."""
         connection = SetupConnection(self, tunnel_id, backend_id, address, line_for_backend, timeout)
         # If the whole setup has no more time than the connect, its end may be the client's answer.
-        connection.connect(min(connect_within, timeout), pending_reads_first=connect_within < timeout)
+        connection.connect(min(connect_timeout, timeout), pending_reads_first=connect_timeout < timeout)
         return connection
 
     def probe(self, backend_id: int, address: Address) -> None:
--- a/cedarledge/net/discovery.py
+++ b/cedarledge/net/discovery.py
@@ -299,7 +299,7 @@
         return self._revision
 
     def resume_from(self, revision: int | None) -> None:
-        """Continues after another process has followed the list up to `revision`."""
+        """Continues from `revision`, up to which another process followed the list; None: the whole list."""
         self.stop()
         self._revision = revision
         self._has_timed_out = self._has_failed = False  # these may have been calls to another address
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -93,7 +93,7 @@
     host, registry = harness.host, harness.registry
     banned: set[str] = set()
     for action, name in steps:
-        sends, probes = len(host.attempts), len(host.probes)
+        attempts, probes = len(host.attempts), len(host.probes)
         if action == "ban":
             harness.ban(name)
             banned.add(name)
@@ -111,33 +111,37 @@
         elif action == "wait":
             host.run(SECOND)
         else:
-            tun = host.arrive(key=name)
-            if not host.requests[tun].answered:
+            connection_id = host.arrive(key=name)
+            if not host.requests[connection_id].answered:
                 # The attempt fails, and the policy tries other backends as long as there are any.
-                host.end(tun, Outcome.FULL)
-        new = host.attempts[sends:]
-        assert not {registry.backend_ids.names[ep] for _, _, ep in new} & banned
-        assert not {registry.backend_ids.names[ep] for _, ep in host.probes[probes:]} & banned
-        # Only the banned backends are not ready; the others are not affected.
-        for ep, entry in host.listing.items():
-            assert registry.backend_ids.names[ep] not in banned or entry.state is not BackendState.READY
+                host.end(connection_id, Outcome.FULL)
+        new = host.attempts[attempts:]
+        assert not {registry.backend_ids.names[backend_id] for _, _, backend_id in new} & banned
+        assert not {registry.backend_ids.names[backend_id] for _, backend_id in host.probes[probes:]} & banned
+        # The policy never sees a banned backend as ready.
+        for backend_id, entry in host.listing.items():
+            assert (
+                registry.backend_ids.names[backend_id] not in banned or entry.state is not BackendState.READY
+            )
 
 
 def test_a_ban_of_all_backends_is_obeyed_and_excluding_all_of_them_is_not() -> None:
     harness = RegistryHarness()
     harness.registry.set_excluded(NAMES)
-    tun = harness.host.arrive()
-    assert harness.host.attempts and not harness.host.requests[tun].answered, (
+    connection_id = harness.host.arrive()
+    assert harness.host.attempts and not harness.host.requests[connection_id].answered, (
         "excluding all would stop all traffic, so it is taken for a mistake"
     )
     for name in NAMES:
         harness.ban(name)
-    sends = len(harness.host.attempts)
-    tun = harness.host.arrive()
-    assert harness.host.requests[tun].answered and len(harness.host.attempts) == sends
+    attempts = len(harness.host.attempts)
+    connection_id = harness.host.arrive()
+    assert harness.host.requests[connection_id].answered and len(harness.host.attempts) == attempts
     harness.unban("b")
     harness.host.now += 11 * SECOND  # warm
-    assert harness.host.arrive() >= 0 and [ep for _, _, ep in harness.host.attempts[sends:]] == [1]
+    assert harness.host.arrive() >= 0 and [
+        backend_id for _, _, backend_id in harness.host.attempts[attempts:]
+    ] == [1]
 
 
 def test_a_readmitted_backend_is_cold_and_without_history_whatever_the_list_says() -> None:
@@ -214,15 +218,15 @@
 def test_a_request_whose_connect_is_in_progress_at_the_ban_is_not_sent() -> None:
     harness = RegistryHarness()
     host = harness.host
-    tun = host.arrive(key="k")
-    ep = host.attempts[-1][2]
-    harness.ban(harness.registry.backend_ids.names[ep])
+    connection_id = host.arrive(key="k")
+    backend_id = host.attempts[-1][2]
+    harness.ban(harness.registry.backend_ids.names[backend_id])
     # The host checks once more before it writes (Tunnels.may_send), and reports that it was not sent.
-    assert ep not in harness.registry.ready
-    host.end(tun, Outcome.NOT_SENT)
-    while tun in host.balancer.state.awaiting_probe:
-        host.report(host.balancer.state.awaiting_probe[tun].backend_id, 0.1)
-    assert host.attempts[-1][2] != ep, "it is sent to another backend"
+    assert backend_id not in harness.registry.ready
+    host.end(connection_id, Outcome.NOT_SENT)
+    while connection_id in host.balancer.state.awaiting_probe:
+        host.report(host.balancer.state.awaiting_probe[connection_id].backend_id, 0.1)
+    assert host.attempts[-1][2] != backend_id, "it is sent to another backend"
 
 
 def test_backend_names_in_calls_are_percent_decoded(tmp_path: Path) -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -168,7 +168,7 @@
 
     timers, silent = Timers(clock, now), []
     message_timers = MessageTimers(now, timers, LatencyReporter(now, 0, lambda *_: None), silent.append)
-    message_timer_list = [MessageTimer(message_timers, tun, 0) for tun in range(3000)]
+    message_timer_list = [MessageTimer(message_timers, tunnel_id, 0) for tunnel_id in range(3000)]
     for timer in message_timer_list:
         timer.line_sent()
         clock.advance(0.0005)
@@ -427,8 +427,8 @@
     def now() -> int:
         return int(clock.seconds() * SECOND)
 
-    def report(ep: int, delay: int) -> None:
-        reports.append((ep, delay))
+    def report(backend_id: int, delay: int) -> None:
+        reports.append((backend_id, delay))
 
     load_reports = LatencyReporter(now, 3 * step, report)
     message_timers = MessageTimers(
@@ -474,12 +474,12 @@
 
 def test_slowdown_is_relative_to_the_usual_time_and_to_other_backends() -> None:
     probe_latencies = ProbeLatencies(10 * MS)
-    for ep in range(5):
-        assert probe_latencies.slowdown(ep, (2 + ep) * MS) == 1.0
+    for backend_id in range(5):
+        assert probe_latencies.slowdown(backend_id, (2 + backend_id) * MS) == 1.0
     assert probe_latencies.slowdown(1, 12 * MS) == 1.0  # within the minimum excess
     assert 3.5 < probe_latencies.slowdown(1, 13 * MS + MS) < 5
-    for ep in (0, 2, 3, 4):
-        probe_latencies.slowdown(ep, 40 * MS)
+    for backend_id in (0, 2, 3, 4):
+        probe_latencies.slowdown(backend_id, 40 * MS)
     assert probe_latencies.slowdown(1, 45 * MS) < 2  # all are slow, so the fleet is loaded
 
 
