--- a/cedarledge/cli.py
+++ b/cedarledge/cli.py
@@ -41,8 +41,10 @@
 def main() -> None:
     """A load balancer for long-lived connections, and a test rig for it.
 
-    Without arguments it runs the relay that BALANCER_CONFIG configures. Exit codes: 0 success; 1 a rule was
-    broken; 2 bad usage or a file that can't be used; 3 an invalid run, since the stand-ins ran late.
+    Without arguments it runs the relay that BALANCER_CONFIG configures.
+
+    Exit codes: 0 success; 1 a rule was broken; 2 bad usage or a file that can't be used; 3 an invalid run,
+    since the stand-ins ran late.
 
     For completion in bash: eval "$(_CEDARLEDGE_COMPLETE=bash_source cedarledge)"; zsh and fish likewise.
     """
@@ -74,7 +76,7 @@
     except BadFileError as why:
         _exit_unusable(why)
     on = [] if scenario else loaded.enabled_tables()
-    click.echo(f"{file}: valid" + (f"; on: {', '.join(on)}" if on else ""))
+    click.echo(f"{file}: good" + (f"; on: {', '.join(on)}" if on else ""))
 
 
 def _size_options(command: Callable[..., None]) -> Callable[..., None]:
@@ -335,18 +337,20 @@
     from cedarledge.rig.soak import SoakResult, soak_all
 
     def done(result: SoakResult) -> None:
-        word = "holds" if result.passed else result.problem or f"BROKEN {result.rules | result.invariants}"
-        click.echo(f"seed {result.seed}: {result.connections} connections, {word}")
+        outcome = "holds" if result.passed else result.problem or f"BROKEN {result.rules | result.invariants}"
+        click.echo(f"seed {result.seed}: {result.connections} connections, {outcome}")
         for finding in result.findings:
             click.echo(f"  {finding}")
 
     results = soak_all(seeds_of(seeds), jobs, Path(keep), done, relays, seconds)
     if out:
         Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1))
-    held = sum(result.passed for result in results)
+    passed = sum(result.passed for result in results)
     not_run = sum(bool(result.problem) for result in results)
-    click.echo(f"{held} of {len(results)} seeds hold, {not_run} could not be run")
-    sys.exit(0 if held == len(results) else STANDINS_LATE if held + not_run == len(results) else RULE_BROKEN)
+    click.echo(f"{passed} of {len(results)} seeds hold, {not_run} could not be played")
+    sys.exit(
+        0 if passed == len(results) else STANDINS_LATE if passed + not_run == len(results) else RULE_BROKEN
+    )
 
 
 @main.command()
@@ -368,7 +372,7 @@
     loaded = load_scenario("demo")
     plan = build_plan(loaded, seed, seconds=seconds)
     click.echo(
-        f"{plan.relays} relays, {len(plan.boxes)} emulated backends, about "
+        f"{plan.relays} relays, {len(plan.boxes)} simulated boxes, about "
         f"{plan.client_settings.initial_clients} clients, for {seconds:g} s; on loopback, "
         f"as process {os.getpid()}."
     )
