--- a/cedarledge/standins/__init__.py
+++ b/cedarledge/standins/__init__.py
@@ -1,1 +1,2 @@
-"""A fleet to try relays on: feed boxes, discovery, a front and clients, and a judge with books of its own."""
+"""Emulated backends, discovery and clients that relays are tested against, and a judge that checks their
+logs."""
--- a/cedarledge/standins/box_model.py
+++ b/cedarledge/standins/box_model.py
@@ -1,9 +1,9 @@
-"""What a feed box can do and how long it takes: a fluid model, without I/O or clock.
+"""Capacity and response times of an emulated backend: a fluid model without I/O or clock.
 
-A box has cores; open connections keep a part of them busy, and a new one brings work of its own. What is
-asked beyond what the cores can do piles up and delays every message. A box that has just started is cold: it
-begins at a part of its strength and warms evenly. A cold box that is asked for far more than it can do, for
-long, falls over, whoever asked for it.
+A box has cores. Open connections keep a part of them busy, and each new connection adds work of its own. Work
+beyond the capacity becomes a backlog that delays every message. A box that has just started is cold: it
+begins with a part of its capacity, which grows linearly until it is warm. A cold box whose load is far above
+its capacity for long fails, whichever relays the load comes from.
 """
 
 from __future__ import annotations
@@ -14,62 +14,64 @@
 from cedarledge.standins.plan import BoxPlan, BoxSettings
 from cedarledge.terms import SECOND
 
-# Past this share of its cores a box answers by what is piled up, not by its share alone.
+# Utilization at which the response time stops growing with the load; beyond it only the backlog adds delay.
 KNEE = 0.93
-# No more work than this piles up: clients that wait for longer have left.
+# Limit of the backlog: clients that would wait longer have left.
 MAX_BACKLOG = 6 * SECOND
-# New connections' work counts as load for this long.
+# The work of a new connection counts as load for this long.
 RECENT = SECOND
 
 
-class Figures(NamedTuple):
-    """What a box reports of itself."""
+class LoadReport(NamedTuple):
+    """What a box reports about itself."""
 
     utilization: float
     recent_ms: float
-    asked: float
-    piled_up_s: float
-    held: int
+    load_ratio: float
+    backlog_s: float
+    connections: int
 
 
 class BoxModel:
-    """One box's strength, load and backlog. Every method is told the time, in ns, never going back."""
+    """Capacity, load and backlog of one box. Methods take the time in ns, which must not go back."""
 
-    def __init__(self, plan: BoxPlan, terms: BoxSettings, now: int, cold: bool) -> None:
+    def __init__(self, plan: BoxPlan, settings: BoxSettings, now: int, cold: bool) -> None:
+        """Creates an idle box; one that is not `cold` has finished its warm-up."""
         self.plan = plan
-        self.terms = terms
-        self.started = now if cold else now - 2 * terms.warmup_duration
-        self.slow = 1.0
-        self.neighbour = 0.0  # share of the cores that another program takes
+        self.settings = settings
+        self.started = now if cold else now - 2 * settings.warmup_duration
+        self.slow = 1.0  # divisor of the speed
+        self.neighbour = 0.0  # share of the cores that another program uses
         self.hung = self.failing = self.frozen = self.draining = self.late_up = False
         self.load = 0.0
-        self.held = 0
-        self.piled = 0.0  # ns of work for all cores together
+        self.connections = 0
+        self.backlog = 0.0  # ns of work for all cores together
         self.at = now
-        self._setups: deque[tuple[int, float]] = deque()  # when, and work in core seconds
-        self._over_since = -1
-        self._reports: deque[tuple[int, Figures]] = deque()
-        self._refreshed = -1
+        self._setups: deque[tuple[int, float]] = deque()  # time, and work in core seconds
+        self._overloaded_since = -1
+        self._reports: deque[tuple[int, LoadReport]] = deque()
+        self._report_made_at = -1
 
-    # -- strength and load -------------------------------------------------------------------------
+    # -- capacity and load -------------------------------------------------------------------------
 
     def is_cold(self, now: int) -> bool:
-        return now < self.started + self.terms.warmup_duration
+        """Tells whether the warm-up is still going on."""
+        return now < self.started + self.settings.warmup_duration
 
-    def strength(self, now: int) -> float:
-        """Core seconds a second."""
-        whole = self.plan.cores * self.plan.speed / self.slow * (1 - self.neighbour)
+    def capacity(self, now: int) -> float:
+        """Returns the capacity in core seconds a second."""
+        full = self.plan.cores * self.plan.speed / self.slow * (1 - self.neighbour)
         if not self.is_cold(now):
-            return whole
-        warm = (now - self.started) / self.terms.warmup_duration
-        return whole * (self.terms.cold_from + (1 - self.terms.cold_from) * warm)
+            return full
+        warm = (now - self.started) / self.settings.warmup_duration
+        return full * (self.settings.cold_from + (1 - self.settings.cold_from) * warm)
 
-    def asked(self, now: int) -> float:
-        """The load asked over what the box can do."""
+    def load_ratio(self, now: int) -> float:
+        """Returns the load divided by the capacity; above 1 the box is overloaded."""
         while self._setups and self._setups[0][0] < now - RECENT:
             self._setups.popleft()
-        fresh = sum(work for _, work in self._setups) * SECOND / RECENT
-        return (self.load + fresh) / self.strength(now)
+        recent = sum(work for _, work in self._setups) * SECOND / RECENT
+        return (self.load + recent) / self.capacity(now)
 
     def advance(self, now: int) -> None:
         """Brings the backlog up to date."""
@@ -77,61 +79,75 @@
         if span <= 0:
             return
         self.at = now
-        asked = self.asked(now)
-        self.piled = min(float(MAX_BACKLOG), max(0.0, self.piled + (asked - 1) * span))
+        ratio = self.load_ratio(now)
+        self.backlog = min(float(MAX_BACKLOG), max(0.0, self.backlog + (ratio - 1) * span))
 
-    def message(self, now: int) -> int:
-        """How long a message that comes now takes, in ns."""
+    def message_time(self, now: int) -> int:
+        """Returns how long a message that arrives now takes, in ns."""
         self.advance(now)
-        share = min(KNEE, self.asked(now))
-        alone = self.terms.message_time / self.plan.speed * self.slow / (1 - self.neighbour)
-        return int(alone / (1 - share) + self.piled)
+        utilization = min(KNEE, self.load_ratio(now))
+        idle_time = self.settings.message_time / self.plan.speed * self.slow / (1 - self.neighbour)
+        return int(idle_time / (1 - utilization) + self.backlog)
 
     # -- connections -------------------------------------------------------------------------------
 
-    def takes(self, now: int) -> bool:
-        """Whether a new connection fits."""
+    def accepts(self, now: int) -> bool:
+        """Tells whether the box accepts a new connection."""
         self.advance(now)
-        return not self.draining and self.held < self.plan.cap and self.piled <= self.terms.max_backlog
-
-    def setup(self, now: int, taken: bool) -> int:
-        """A new connection's work, also of one that is turned away; how long it takes, in ns."""
-        part = 1.0 if taken else 0.2
-        work = part * self.terms.setup_time / SECOND / self.plan.speed
+        return (
+            not self.draining
+            and self.connections < self.plan.cap
+            and self.backlog <= self.settings.max_backlog
+        )
+
+    def begin_setup(self, now: int, accepted: bool) -> int:
+        """Adds the work of a new connection, or of rejecting it, and returns how long it takes, in ns."""
+        part = 1.0 if accepted else 0.2
+        work = part * self.settings.setup_time / SECOND / self.plan.speed
         self._setups.append((now, work))
-        return int(self.terms.round_trip + part * self.message(now))
+        return int(self.settings.round_trip + part * self.message_time(now))
 
-    def opened(self, load: float) -> None:
-        self.held += 1
+    def connection_opened(self, load: float) -> None:
+        """Adds an open connection that keeps `load` cores busy."""
+        self.connections += 1
         self.load += load
 
-    def ended(self, load: float) -> None:
-        self.held -= 1
+    def connection_closed(self, load: float) -> None:
+        """Removes an open connection and its load."""
+        self.connections -= 1
         self.load = max(0.0, self.load - load)
 
-    def is_pushed_over(self, now: int) -> bool:
-        """Whether a cold box has been asked for too much for too long."""
-        if not self.is_cold(now) or self.asked(now) <= self.terms.overload_multiple:
-            self._over_since = -1
+    def fails_from_overload(self, now: int) -> bool:
+        """Tells whether the box is cold and has been overloaded for too long; call it often."""
+        if not self.is_cold(now) or self.load_ratio(now) <= self.settings.overload_multiple:
+            self._overloaded_since = -1
             return False
-        if self._over_since < 0:
-            self._over_since = now
-        return now - self._over_since >= self.terms.overload_duration
+        if self._overloaded_since < 0:
+            self._overloaded_since = now
+        return now - self._overloaded_since >= self.settings.overload_duration
 
     # -- reports -----------------------------------------------------------------------------------
 
-    def report(self, now: int) -> Figures:
-        """What a probe is told: made anew now and then, and late."""
-        if self._refreshed < 0 or (now - self._refreshed >= self.terms.report_interval and not self.frozen):
-            self._refreshed = now
+    def report(self, now: int) -> LoadReport:
+        """Returns the load report that a probe gets: updated at intervals, and delayed."""
+        if self._report_made_at < 0 or (
+            now - self._report_made_at >= self.settings.report_interval and not self.frozen
+        ):
+            self._report_made_at = now
             self.advance(now)
-            asked = self.asked(now)
+            ratio = self.load_ratio(now)
             self._reports.append(
                 (
                     now,
-                    Figures(min(1.0, asked), self.message(now) / 1e6, asked, self.piled / SECOND, self.held),
+                    LoadReport(
+                        min(1.0, ratio),
+                        self.message_time(now) / 1e6,
+                        ratio,
+                        self.backlog / SECOND,
+                        self.connections,
+                    ),
                 )
             )
-        while len(self._reports) > 1 and self._reports[1][0] <= now - self.terms.report_delay:
+        while len(self._reports) > 1 and self._reports[1][0] <= now - self.settings.report_delay:
             self._reports.popleft()
         return self._reports[0][1]
--- a/cedarledge/standins/boxes.py
+++ b/cedarledge/standins/boxes.py
@@ -1,6 +1,6 @@
-"""Stand-in feed boxes: many in one process, each with an address for every relay.
+"""Emulated backends ("boxes"): many in one process, each with an address for every relay.
 
-What is read here is cut and parsed apart from the relay's own parsers, so that a fault there is not shared.
+Lines are split and parsed by code of its own, so that a fault in the relay's parsers is not repeated here.
 """
 
 from __future__ import annotations
@@ -15,33 +15,41 @@
 
 from cedarledge.standins.box_model import BoxModel
 from cedarledge.standins.event_log import BoxAttempt, BoxLoad, ColdOverload, UnexpectedLine
-from cedarledge.standins.plan import BAD_ID, OTHER_PORT, BoxPlan, ScheduledEvent, box_address
-from cedarledge.standins.process_context import Player, ProcessContext
+from cedarledge.standins.plan import (
+    INVALID_ID_PREFIX,
+    RELOCATED_PORT_OFFSET,
+    BoxPlan,
+    ScheduledEvent,
+    box_address,
+)
+from cedarledge.standins.process_context import Emulator, ProcessContext
 from cedarledge.terms import MS, SECOND
 
-# A line that was longer than this on its way between two stand-ins was held back by the relay between them.
-HELD_BACK = SECOND
-LONGEST_LINE = 4096
-# How long a box that ends waits for the relay to end its side.
+# A line that takes longer than this from client to box or back was delayed by the relay between them.
+MAX_LINE_DELAY = SECOND
+MAX_LINE = 4096
+# How long a box that closes a connection waits until the relay closes its side.
 LINGER = 2 * SECOND
-# An error that comes at once takes this long.
+# Time until the answer ERR of a failing box.
 FAST_ERROR = 2 * MS
-# How long after the client has given up a box that answers late does so, and how long it then stays.
+# Mode `late_up`: UP is sent this long after the client's timeout, and the connection is reset this long after
+# UP.
 LATE_UP, LATE_STAY = 60 * MS, 200 * MS
 
 
 @implementer(IHalfCloseableProtocol)
-class BoxLink(Protocol):
-    """One relay's connection to one box: probes, or one tunnel."""
+class BoxConnection(Protocol):
+    """A connection of one relay to one box; carries probes, or one client's connection."""
 
     transport: Any
 
     def __init__(self, box: Box, relay: int) -> None:
+        """`relay` is the one whose address was connected to."""
         self.box = box
         self.relay = relay
         self.rest = b""
-        self.began = -1
-        self.entry: BoxAttempt | None = None
+        self.started_at = -1  # arrival of the first byte of the request
+        self.attempt: BoxAttempt | None = None
         self.load = 0.0
         self.is_open = self.ending = False
         self.next_line = 0
@@ -49,17 +57,19 @@
         self.echo_due = 0
 
     def connectionMade(self) -> None:  # noqa: N802
+        """Registers the connection; nothing is read while the relay is partitioned from the box."""
         self.transport.setTcpNoDelay(True)
-        self.box.links[self] = None
-        if (self.relay, self.box.plan.name) in self.box.fleet.cut:
+        self.box.connections[self] = None
+        if (self.relay, self.box.plan.name) in self.box.fleet.partitioned:
             self.transport.pauseProducing()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if self.began < 0:
-            self.began = self.box.now()
+        """Handles complete lines; a line that is too long resets the connection."""
+        if self.started_at < 0:
+            self.started_at = self.box.now()
         *lines, self.rest = (self.rest + data).split(b"\r\n")
-        if len(self.rest) > LONGEST_LINE:
-            self.box.alien(self, self.rest)
+        if len(self.rest) > MAX_LINE:
+            self.box.log_unexpected(self, self.rest)
             self.transport.abortConnection()
             return
         for line in lines:
@@ -67,72 +77,74 @@
                 self._line(line)
 
     def _line(self, line: bytes) -> None:
-        if line in (b"STATS", b"PING") and self.entry is None:
-            self.began = -1
+        if line in (b"STATS", b"PING") and self.attempt is None:
+            self.started_at = -1
             self.box.probe(self, line)
-        elif self.entry is None:
-            self._opening(line)
+        elif self.attempt is None:
+            self._open_request(line)
         elif not self.is_open:
-            self.box.alien(self, line)
+            self.box.log_unexpected(self, line)
         else:
             self._message(line)
 
-    def _opening(self, line: bytes) -> None:
+    def _open_request(self, line: bytes) -> None:
         words = line.decode("latin-1").split(" ")
-        told = dict(pair.partition("=")[::2] for pair in words[-1].split(","))
-        profile = self.box.fleet.profiles.get(told.get("c", ""))
-        wait = told.get("d", "")
+        values = dict(pair.partition("=")[::2] for pair in words[-1].split(","))
+        profile = self.box.fleet.profiles.get(values.get("c", ""))
+        timeout = values.get("d", "")
         if (
             len(words) != 4
             or words[0] != "OPEN"
             or profile is None
-            or words[1].startswith(BAD_ID)
-            or not wait.isdecimal()
+            or words[1].startswith(INVALID_ID_PREFIX)
+            or not timeout.isdecimal()
         ):
-            self.box.alien(self, line)
-            self.say(b"SYNTAX")
+            self.box.log_unexpected(self, line)
+            self.send(b"SYNTAX")
             self.end()
             return
         now = self.box.now()
-        self.entry = BoxAttempt(self.box.index, self.relay, words[1], self.began, now)
-        self.box.set_up(self, profile.load, int(wait) * MS)
+        self.attempt = BoxAttempt(self.box.index, self.relay, words[1], self.started_at, now)
+        self.box.set_up(self, profile.load, int(timeout) * MS)
 
     def _message(self, line: bytes) -> None:
-        entry, now = self.entry, self.box.now()
+        attempt, now = self.attempt, self.box.now()
         words = line.split(b" ")
         if len(words) != 3 or words[0] != b"m" or not words[1].isdigit() or not words[2].isdigit():
-            self.box.alien(self, line)
+            self.box.log_unexpected(self, line)
             return
-        entry.gaps += int(words[1]) != self.next_line
+        attempt.sequence_gaps += int(words[1]) != self.next_line
         self.next_line = int(words[1]) + 1
-        entry.held += now - int(words[2]) > HELD_BACK
+        attempt.delayed_lines += now - int(words[2]) > MAX_LINE_DELAY
         if not self.box.model.hung:
-            # In the order in which they came, whatever each takes.
-            self.echo_due = max(self.echo_due, now + self.box.model.message(now))
+            # Answers keep the order of the messages, however long each takes.
+            self.echo_due = max(self.echo_due, now + self.box.model.message_time(now))
             self.box.after(self.echo_due - now, self._echo, words[1])
 
     def _echo(self, number: bytes) -> None:
         if self.is_open and not self.ending and not self.box.model.hung:
-            self.say(b"e %b %d %d" % (number, self.next_out, self.box.now()))
+            self.send(b"e %b %d %d" % (number, self.next_out, self.box.now()))
             self.next_out += 1
 
-    # -- what the box has it do --------------------------------------------------------------------
+    # -- called by the box -------------------------------------------------------------------------
 
-    def say(self, line: bytes) -> None:
+    def send(self, line: bytes) -> None:
+        """Sends a line."""
         self.transport.write(line + b"\r\n")
 
     def answer(self, word: str, line: bytes) -> None:
-        if self.entry is None or self.ending or self.entry.ended >= 0:
+        """Sends the answer to the request and logs its first word, unless the attempt is over."""
+        if self.attempt is None or self.ending or self.attempt.ended_at >= 0:
             return
-        self.entry.word, self.entry.answered = word, self.box.now()
-        self.say(line)
+        self.attempt.answer, self.attempt.answered_at = word, self.box.now()
+        self.send(line)
 
     def end(self) -> None:
-        """Ends it as a box does: what was said goes out first."""
+        """Closes the connection after what was written has been sent."""
         if not self.ending:
             self.ending = True
-            if self.entry is not None:
-                self.entry.by_box = True
+            if self.attempt is not None:
+                self.attempt.ended_by_box = True
             self.transport.loseWriteConnection()
             self.box.after(LINGER, self._linger_over)
 
@@ -141,69 +153,78 @@
             self.transport.abortConnection()
 
     def reset(self) -> None:
-        if self.entry is not None:
-            self.entry.by_box = True
+        """Resets the connection."""
+        if self.attempt is not None:
+            self.attempt.ended_by_box = True
         self.ending = True
         self.transport.abortConnection()
 
-    def over(self) -> None:
-        """The relay ended it, or it is gone: the setup is over from here on."""
+    def attempt_over(self) -> None:
+        """Logs the attempt, once: the relay has closed the connection, or the run has ended."""
         if self.is_open:
             self.is_open = False
-            self.box.model.ended(self.load)
-        if self.entry is not None and self.entry.ended < 0:
-            self.entry.ended = self.box.now()
-            self.box.fleet.book.write(self.entry)
+            self.box.model.connection_closed(self.load)
+        if self.attempt is not None and self.attempt.ended_at < 0:
+            self.attempt.ended_at = self.box.now()
+            self.box.fleet.event_log.write(self.attempt)
 
     def readConnectionLost(self) -> None:  # noqa: N802
-        self.over()
+        """Ends the attempt, as the relay has closed its side."""
+        self.attempt_over()
         self.ending = True
         self.transport.loseConnection()
 
     def writeConnectionLost(self) -> None:  # noqa: N802
-        """Ended here; the relay's side follows."""
+        """Does nothing: this side is closed, the relay's side follows."""
 
     def connectionLost(self, _reason: Failure) -> None:  # noqa: N802
-        self.over()
-        self.box.links.pop(self, None)
+        """Ends the attempt and unregisters the connection."""
+        self.attempt_over()
+        self.box.connections.pop(self, None)
 
 
-class BoxPort(ServerFactory):
-    """One box's address for one relay."""
+class BoxFactory(ServerFactory):
+    """Accepts the connections of one relay to one box."""
 
     noisy = False
 
     def __init__(self, box: Box, relay: int) -> None:
+        """`relay` is the one whose address is listened on."""
         self.box = box
         self.relay = relay
 
-    def buildProtocol(self, _addr: Any) -> BoxLink:  # noqa: N802
-        return BoxLink(self.box, self.relay)
+    def buildProtocol(self, _addr: Any) -> BoxConnection:  # noqa: N802
+        """Returns the protocol of a new connection."""
+        return BoxConnection(self.box, self.relay)
 
 
 class Box:
-    """One feed box: its model, its addresses, its connections."""
+    """One emulated backend: its model, its listening sockets and its connections."""
 
-    def __init__(self, fleet: Boxes, index: int, plan: BoxPlan) -> None:
+    def __init__(self, fleet: BoxFleet, index: int, plan: BoxPlan) -> None:
+        """Creates a box that is down; `start` brings it up."""
         self.fleet = fleet
         self.index = index
         self.plan = plan
         self.model = BoxModel(plan, fleet.plan.box_settings, 0, cold=False)
-        self.links: dict[BoxLink, None] = {}
+        self.connections: dict[BoxConnection, None] = {}
         self.ports: list[Any] = []
         self.up = False
-        self.shift = 0  # of its port
+        self.port_offset = 0
         self.receipts = 0
 
     def now(self) -> int:
+        """Returns the time in ns after the start of the run."""
         return self.fleet.now()
 
     def after(self, delay: int, call: Callable[..., None], *args: Any) -> None:
+        """Sets a timer; the delay is in ns."""
         self.fleet.timers.after(delay, call, *args)
 
-    # -- up and down -------------------------------------------------------------------------------
+    # -- start and stop ----------------------------------------------------------------------------
 
     def start(self, cold: bool) -> None:
+        """Starts the box, unless it is up."""
         if self.up:
             return
         self.up = True
@@ -211,165 +232,177 @@
         for relay in range(self.fleet.plan.relays):
             self.ports.append(
                 self.fleet.reactor.listenTCP(
-                    self.fleet.port + self.shift,
-                    BoxPort(self, relay),
+                    self.fleet.port + self.port_offset,
+                    BoxFactory(self, relay),
                     backlog=512,
                     interface=box_address(self.index, relay),
                 )
             )
 
     def stop(self) -> None:
-        """The process dies: its connections are reset, new ones refused."""
+        """Stops the box as a crash does: its connections are reset, new ones refused."""
         self.up = False
         for port in self.ports:
             port.stopListening()
         self.ports.clear()
-        for link in list(self.links):
-            link.reset()
+        for connection in list(self.connections):
+            connection.reset()
 
     # -- connections -------------------------------------------------------------------------------
 
-    def probe(self, link: BoxLink, word: bytes) -> None:
+    def probe(self, connection: BoxConnection, word: bytes) -> None:
+        """Answers PING or STATS; a box that hangs does not."""
         if self.model.hung:
             return
         now = self.now()
         if word == b"PING":
-            link.say(b"PONG")
+            connection.send(b"PONG")
             return
-        told = self.model.report(now)
-        line = b"PONG utilization=%.4f,recent_ms=%.3f,x0=%.4f,x1=%.4f" % told[:4]
-        # A probe is served ahead of the tunnels, as by a thread of its own.
-        self.after(self.fleet.plan.box_settings.message_time // 4, link.say, line)
+        report = self.model.report(now)
+        line = b"PONG utilization=%.4f,recent_ms=%.3f,x0=%.4f,x1=%.4f" % report[:4]
+        # Probes have priority over messages, as if a thread of its own answered them.
+        self.after(self.fleet.plan.box_settings.message_time // 4, connection.send, line)
 
-    def set_up(self, link: BoxLink, load: float, wait: int) -> None:
+    def set_up(self, connection: BoxConnection, load: float, timeout: int) -> None:
+        """Accepts, rejects, fails or ignores a request, as the state of the box requires."""
         now, model = self.now(), self.model
         if model.hung:
             return
         if model.late_up:
-            self.after(wait + LATE_UP, self._up, link, load)
-            self.after(wait + LATE_UP + LATE_STAY, link.reset)
+            self.after(timeout + LATE_UP, self._accept, connection, load)
+            self.after(timeout + LATE_UP + LATE_STAY, connection.reset)
             return
         if model.failing:
-            self.after(FAST_ERROR, self._refuse, link, "ERR")
+            self.after(FAST_ERROR, self._refuse, connection, "ERR")
             return
-        taken = model.takes(now)
-        took = model.setup(now, taken)
-        if model.is_pushed_over(now):
-            self._fall(now)
-        elif taken:
-            self.after(took, self._up, link, load)
+        accepted = model.accepts(now)
+        setup_time = model.begin_setup(now, accepted)
+        if model.fails_from_overload(now):
+            self._fail_from_overload(now)
+        elif accepted:
+            self.after(setup_time, self._accept, connection, load)
         else:
-            self.after(took, self._refuse, link, "BUSY")
+            self.after(setup_time, self._refuse, connection, "BUSY")
 
-    def _up(self, link: BoxLink, load: float) -> None:
-        entry = link.entry
-        if entry is None or entry.ended >= 0 or link.ending or self.model.hung:
+    def _accept(self, connection: BoxConnection, load: float) -> None:
+        attempt = connection.attempt
+        if attempt is None or attempt.ended_at >= 0 or connection.ending or self.model.hung:
             return
         self.receipts += 1
-        entry.receipt = f"{self.plan.name}-{self.receipts}"
-        link.load = load
-        link.is_open = True
-        self.model.opened(load)
-        link.answer("UP", b"UP " + entry.receipt.encode())
-        link.say(b"LOAD %.5f" % load)
-
-    def _refuse(self, link: BoxLink, word: str) -> None:
-        if link.entry is not None and link.entry.ended < 0:
-            link.answer(word, word.encode())
-            link.end()
-
-    def _fall(self, now: int) -> None:
-        self.fleet.book.write(ColdOverload(now, self.index, self.model.asked(now)))
+        attempt.receipt = f"{self.plan.name}-{self.receipts}"
+        connection.load = load
+        connection.is_open = True
+        self.model.connection_opened(load)
+        connection.answer("UP", b"UP " + attempt.receipt.encode())
+        connection.send(b"LOAD %.5f" % load)
+
+    def _refuse(self, connection: BoxConnection, word: str) -> None:
+        if connection.attempt is not None and connection.attempt.ended_at < 0:
+            connection.answer(word, word.encode())
+            connection.end()
+
+    def _fail_from_overload(self, now: int) -> None:
+        self.fleet.event_log.write(ColdOverload(now, self.index, self.model.load_ratio(now)))
         self.stop()
         self.after(self.fleet.plan.box_settings.restart_delay, self.start, True)
 
-    def send_away(self) -> None:
-        """A draining box sends away who is still there."""
+    def move_clients(self) -> None:
+        """Sends MOVE to the clients that are still connected, and closes their connections, if draining."""
         if self.model.draining:
-            for link in list(self.links):
-                if link.is_open:
-                    link.say(b"MOVE")
-                    link.end()
-
-    def alien(self, link: BoxLink, line: bytes) -> None:
-        self.fleet.book.write(UnexpectedLine(self.now(), self.index, link.relay, line[:80].decode("latin-1")))
-
-    def played(self, act: ScheduledEvent) -> None:
-        """The schedule has something happen to this box."""
+            for connection in list(self.connections):
+                if connection.is_open:
+                    connection.send(b"MOVE")
+                    connection.end()
+
+    def log_unexpected(self, connection: BoxConnection, line: bytes) -> None:
+        """Logs a line that no relay should send, cut to 80 bytes."""
+        self.fleet.event_log.write(
+            UnexpectedLine(self.now(), self.index, connection.relay, line[:80].decode("latin-1"))
+        )
+
+    def apply(self, event: ScheduledEvent) -> None:
+        """Carries out a scheduled event that concerns this box."""
         model, now = self.model, self.now()
         model.advance(now)
-        if act.action == "slow":
-            model.slow = act.size
-        elif act.action == "neighbour":
-            model.neighbour = act.size
-        elif act.action in ("hung", "failing", "frozen", "late_up"):
-            setattr(model, act.action, bool(act.size))
-        elif act.action == "drain":
+        if event.action == "slow":
+            model.slow = event.size
+        elif event.action == "neighbour":
+            model.neighbour = event.size
+        elif event.action in ("hung", "failing", "frozen", "late_up"):
+            setattr(model, event.action, bool(event.size))
+        elif event.action == "drain":
             model.draining = True
-            self.after(self.fleet.plan.box_settings.move_after, self.send_away)
-        elif act.action == "start":
-            self.shift = OTHER_PORT if act.size else 0
+            self.after(self.fleet.plan.box_settings.move_after, self.move_clients)
+        elif event.action == "start":
+            self.port_offset = RELOCATED_PORT_OFFSET if event.size else 0
             self.start(cold=True)
-        elif act.action == "stop":
+        elif event.action == "stop":
             self.stop()
-        elif act.action == "cut":
-            self.cut(act.relay, bool(act.size))
-
-    def cut(self, relay: int, off: bool) -> None:
-        """What a relay sends does not arrive any more, or does again; what this box sends still does."""
-        place = (relay, self.plan.name)
-        (self.fleet.cut.add if off else self.fleet.cut.discard)(place)
-        for link in self.links:
-            if link.relay == relay and link.transport.connected:
-                (link.transport.pauseProducing if off else link.transport.resumeProducing)()
-
-    def look(self, second: int) -> None:
+        elif event.action == "cut":
+            self.partition(event.relay, bool(event.size))
+
+    def partition(self, relay: int, on: bool) -> None:
+        """Begins or ends a partition: what the relay sends does not arrive, what this box sends still
+        does."""
+        pair = (relay, self.plan.name)
+        (self.fleet.partitioned.add if on else self.fleet.partitioned.discard)(pair)
+        for connection in self.connections:
+            if connection.relay == relay and connection.transport.connected:
+                (connection.transport.pauseProducing if on else connection.transport.resumeProducing)()
+
+    def tick(self, second: int) -> None:
+        """Updates the model and logs the load; called every second."""
         now = self.now()
         if not self.up:
             return
         self.model.advance(now)
-        if self.model.is_pushed_over(now):
-            self._fall(now)
+        if self.model.fails_from_overload(now):
+            self._fail_from_overload(now)
             return
-        self.fleet.book.write(BoxLoad(second, self.index, self.model.asked(now), self.model.held))
+        self.fleet.event_log.write(
+            BoxLoad(second, self.index, self.model.load_ratio(now), self.model.connections)
+        )
 
 
-class Boxes(Player):
-    """The boxes of one process: every `parts`-th of the plan."""
+class BoxFleet(Emulator):
+    """The boxes of one process: those whose index leaves the remainder `part` when divided by `parts`."""
 
-    def __init__(self, stage: ProcessContext, part: int, parts: int) -> None:
-        super().__init__(stage)
-        plan = stage.plan
+    def __init__(self, context: ProcessContext, part: int, parts: int) -> None:
+        """Creates the boxes; `open` starts them."""
+        super().__init__(context)
+        plan = context.plan
         self.profiles = {profile.name: profile for profile in plan.profiles}
-        self.cut: set[tuple[int, str]] = set()
+        self.partitioned: set[tuple[int, str]] = set()  # relay, name of box
         self.boxes = {
             index: Box(self, index, box) for index, box in enumerate(plan.boxes) if index % parts == part
         }
 
     def open(self) -> None:
+        """Starts the boxes that are in the list from the start, before the relays start."""
         for box in self.boxes.values():
             if box.plan.at_start:
                 box.start(cold=False)
 
     def begin(self) -> None:
-        """Called at the run's start."""
-        for act in self.plan.events:
-            box = self.boxes.get(act.index)
-            if act.target == "box" and box is not None:
-                self.timers.after(act.at - self.now(), box.played, act)
+        """Sets timers for the scheduled events; called at the start of the run."""
+        for event in self.plan.events:
+            box = self.boxes.get(event.index)
+            if event.target == "box" and box is not None:
+                self.timers.after(event.at - self.now(), box.apply, event)
         self._tick(0)
 
     def _tick(self, second: int) -> None:
         for box in self.boxes.values():
-            box.look(second)
+            box.tick(second)
         self.timers.after((second + 1) * SECOND - self.now(), self._tick, second + 1)
 
     def close(self) -> None:
-        """What is still open at the end of the run is written down as it is."""
+        """Logs the attempts that are open at the end of the run."""
         for box in self.boxes.values():
-            for link in list(box.links):
-                link.over()
+            for connection in list(box.connections):
+                connection.attempt_over()
 
     def summary(self) -> dict[str, float]:
-        asked = [box.model.asked(self.now()) for box in self.boxes.values() if box.up]
-        return {"up": len(asked), "most": max(asked, default=0.0), "sum": sum(asked)}
+        """Returns the progress that the worker reports every second."""
+        ratios = [box.model.load_ratio(self.now()) for box in self.boxes.values() if box.up]
+        return {"up": len(ratios), "most": max(ratios, default=0.0), "sum": sum(ratios)}
--- a/cedarledge/standins/discovery.py
+++ b/cedarledge/standins/discovery.py
@@ -1,4 +1,5 @@
-"""Stand-in discovery: an address for each relay, lists and watches over HTTP/1.1, and what goes wrong."""
+"""Emulated discovery: one address for each relay, lists and watches over HTTP/1.1, and faults of
+discovery."""
 
 from __future__ import annotations
 
@@ -11,186 +12,221 @@
 
 from cedarledge.standins.event_log import ListDelivery
 from cedarledge.standins.plan import (
-    OTHER_PORT,
+    RELOCATED_PORT_OFFSET,
     ScheduledEvent,
     box_address,
     box_proxy_address,
     discovery_address,
 )
-from cedarledge.standins.process_context import Player, ProcessContext
+from cedarledge.standins.process_context import Emulator, ProcessContext
 from cedarledge.terms import MS, SECOND
 
-# Changes that are kept for watches; a watch from before them is given the whole list.
-MOST_CHANGES = 512
-LONGEST_HEAD = 8 << 10
-# How far back a lying discovery's revisions go.
-STEP_BACK = 3
-# What there is to tell counts as told by then, unless it is discovery itself that does not tell it.
-TOLD_BY = 6 * SECOND
+# Changes that are kept for watches; a watch from an older revision gets the complete list.
+MAX_CHANGES = 512
+MAX_HEAD = 8 << 10
+# How far back the revisions go in mode `back`.
+REVISION_STEP_BACK = 3
+# A relay must know a change after this time, unless discovery itself fails to deliver it.
+DELIVERY_DEADLINE = 6 * SECOND
 
 
-class DiscoveryLink(Protocol):
+class DiscoveryConnection(Protocol):
+    """A connection of one relay to discovery."""
+
     transport: Any
 
     def __init__(self, discovery: Discovery, relay: int) -> None:
+        """`relay` is the one whose address was connected to."""
         self.discovery = discovery
         self.relay = relay
         self.rest = b""
-        self.since = -1  # of the watch that waits
-        self.turn = 0
+        self.since = -1  # revision of the watch that waits; -1: none
+        self.answer_count = 0
 
     def connectionMade(self) -> None:  # noqa: N802
+        """Registers the connection for answers to watches."""
         self.transport.setTcpNoDelay(True)
-        self.discovery.links[self] = None
+        self.discovery.connections[self] = None
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
+        """Reads requests, which have no body; a head that is too long resets the connection."""
         self.rest += data
-        if len(self.rest) > LONGEST_HEAD:
+        if len(self.rest) > MAX_HEAD:
             self.transport.abortConnection()
             return
         while b"\r\n\r\n" in self.rest:
             head, _, self.rest = self.rest.partition(b"\r\n\r\n")
             target = head.split(b" ", 2)[1].decode("ascii", "replace")
-            self.discovery.asked(self, parse_qs(urlsplit(target).query))
+            self.discovery.request_received(self, parse_qs(urlsplit(target).query))
 
     def connectionLost(self, _reason: Failure) -> None:  # noqa: N802
-        self.discovery.links.pop(self, None)
+        """Unregisters the connection."""
+        self.discovery.connections.pop(self, None)
 
-    def say(self, status: str, body: bytes, cut: bool = False) -> None:
-        self.turn += 1
+    def respond(self, status: str, body: bytes, cut: bool = False) -> None:
+        """Writes a response; with `cut` only two thirds of it, followed by the end of the connection."""
+        self.answer_count += 1
         self.since = -1
-        answer = b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status.encode(), len(body), body)
-        self.transport.write(answer[: len(answer) * 2 // 3] if cut else answer)
+        response = b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status.encode(), len(body), body)
+        self.transport.write(response[: len(response) * 2 // 3] if cut else response)
         if cut:
             self.transport.loseConnection()
 
 
-class DiscoveryPort(ServerFactory):
+class DiscoveryFactory(ServerFactory):
+    """Accepts the connections of one relay."""
+
     noisy = False
 
     def __init__(self, discovery: Discovery, relay: int) -> None:
+        """`relay` is the one whose address is listened on."""
         self.discovery = discovery
         self.relay = relay
 
-    def buildProtocol(self, _addr: Any) -> DiscoveryLink:  # noqa: N802
-        return DiscoveryLink(self.discovery, self.relay)
+    def buildProtocol(self, _addr: Any) -> DiscoveryConnection:  # noqa: N802
+        """Returns the protocol of a new connection."""
+        return DiscoveryConnection(self.discovery, self.relay)
 
 
-class Discovery(Player):
-    """The list, its history, and how it is told."""
+class Discovery(Emulator):
+    """The list of boxes, its history, and its delivery to relays."""
 
-    def __init__(self, stage: ProcessContext, begin_unix_ms: int) -> None:
-        super().__init__(stage)
-        plan = stage.plan
+    def __init__(self, context: ProcessContext, begin_unix_ms: int) -> None:
+        """`begin_unix_ms` is the wall-clock time of the start of the run."""
+        super().__init__(context)
+        plan = context.plan
         self.begin_unix_ms = begin_unix_ms
         self.revision = 40
         self.phases = {index: "up" for index, box in enumerate(plan.boxes) if box.at_start}
-        self.started: dict[int, int] = {}
-        self.shifts: dict[int, int] = {}
+        self.started: dict[int, int] = {}  # Unix time in ms, by box
+        self.port_offsets: dict[int, int] = {}
         self.history: list[tuple[int, int]] = []  # revision, box
-        self.links: dict[DiscoveryLink, None] = {}
-        self.late = 0  # ns that every answer waits
-        self.heard = dict.fromkeys(range(plan.relays), self.revision)  # what each relay was told last
+        self.connections: dict[DiscoveryConnection, None] = {}
+        self.delay = 0  # of every answer, in ns
+        # The last revision that was delivered to each relay.
+        self.delivered = dict.fromkeys(range(plan.relays), self.revision)
         self.mode = ""  # down, back, repeat, cut
 
     def open(self) -> None:
+        """Starts to listen, before the relays start."""
         for relay in range(self.plan.relays):
-            self.reactor.listenTCP(self.port, DiscoveryPort(self, relay), interface=discovery_address(relay))
+            self.reactor.listenTCP(
+                self.port, DiscoveryFactory(self, relay), interface=discovery_address(relay)
+            )
 
     def begin(self) -> None:
-        for act in self.plan.events:
-            if act.target == "list":
-                self.timers.after(act.at - self.now(), self._played, act)
-
-    def _played(self, act: ScheduledEvent) -> None:
-        if act.action == "late":
-            self.late = int(act.size)
-        elif act.action == "mode":
-            self.mode = {0: "", 1: "down", 2: "back", 3: "repeat", 4: "cut"}[int(act.size)]
+        """Sets timers for the scheduled events; called at the start of the run."""
+        for event in self.plan.events:
+            if event.target == "list":
+                self.timers.after(event.at - self.now(), self._apply, event)
+
+    def _apply(self, event: ScheduledEvent) -> None:
+        if event.action == "late":
+            self.delay = int(event.size)
+        elif event.action == "mode":
+            self.mode = {0: "", 1: "down", 2: "back", 3: "repeat", 4: "cut"}[int(event.size)]
             if self.mode == "down":
-                for link in list(self.links):
-                    link.transport.abortConnection()
+                for connection in list(self.connections):
+                    connection.transport.abortConnection()
         else:
-            self._changed(act)
+            self._change_phase(event)
 
-    def _changed(self, act: ScheduledEvent) -> None:
+    def _change_phase(self, event: ScheduledEvent) -> None:
         self.revision += 1
-        if act.action == "up":
-            # When it started, which may be a while before it is told of.
-            self.started[act.index] = self.begin_unix_ms + int(act.size) // MS
-            self.shifts[act.index] = OTHER_PORT if act.relay > 0 else 0
-        self.phases[act.index] = act.action
-        self.history = [*self.history, (self.revision, act.index)][-MOST_CHANGES:]
-        for link in [link for link in self.links if link.since >= 0]:
-            self._answer(link, link.since)
-        self.timers.after(TOLD_BY, self._must_know, self.revision, act.index, act.action)
-
-    def _must_know(self, revision: int, box: int, phase: str) -> None:
-        """A relay that has not asked for so long counts as told: it may not shut its ears."""
+        if event.action == "up":
+            # The start time of the box, which may be well before it is listed.
+            self.started[event.index] = self.begin_unix_ms + int(event.size) // MS
+            self.port_offsets[event.index] = RELOCATED_PORT_OFFSET if event.relay > 0 else 0
+        self.phases[event.index] = event.action
+        self.history = [*self.history, (self.revision, event.index)][-MAX_CHANGES:]
+        for connection in [connection for connection in self.connections if connection.since >= 0]:
+            self._answer(connection, connection.since)
+        self.timers.after(DELIVERY_DEADLINE, self._delivery_due, self.revision, event.index, event.action)
+
+    def _delivery_due(self, revision: int, box: int, phase: str) -> None:
+        """Logs a change as delivered to relays that have not asked for it in time.
+
+        Otherwise a relay could avoid the rule about drains by not asking.
+        """
         if self.mode not in ("down", "cut") and self.phases[box] == phase:
-            for relay, heard in self.heard.items():
-                if heard < revision:
-                    self.book.write(ListDelivery(self.now(), relay, box, phase, revision))
+            for relay, delivered in self.delivered.items():
+                if delivered < revision:
+                    self.event_log.write(ListDelivery(self.now(), relay, box, phase, revision))
 
-    def asked(self, link: DiscoveryLink, query: dict[str, list[str]]) -> None:
+    def request_received(self, connection: DiscoveryConnection, query: dict[str, list[str]]) -> None:
+        """Answers a list request or a watch; a watch of the current revision waits for a change or its
+        timeout."""
         if self.mode == "down":
-            link.say("503 Service Unavailable", b"")
+            connection.respond("503 Service Unavailable", b"")
             return
         if "since" not in query:
-            self._answer(link, -1)
+            self._answer(connection, -1)
             return
         since = int(query["since"][0])
         if since != self.revision:
-            self._answer(link, since)
+            self._answer(connection, since)
             return
-        link.since = since
-        self.timers.after(min(60_000, int(query["timeout_ms"][0])) * MS, self._waited, link, link.turn)
-
-    def _waited(self, link: DiscoveryLink, turn: int) -> None:
-        if link in self.links and link.turn == turn:
-            self._answer(link, link.since)
-
-    def _answer(self, link: DiscoveryLink, since: int) -> None:
-        link.since = -1
-        if self.late:
-            self.timers.after(self.late, self._write, link, since)
+        connection.since = since
+        self.timers.after(
+            min(60_000, int(query["timeout_ms"][0])) * MS,
+            self._watch_timed_out,
+            connection,
+            connection.answer_count,
+        )
+
+    def _watch_timed_out(self, connection: DiscoveryConnection, answer_count: int) -> None:
+        if connection in self.connections and connection.answer_count == answer_count:
+            self._answer(connection, connection.since)
+
+    def _answer(self, connection: DiscoveryConnection, since: int) -> None:
+        connection.since = -1
+        if self.delay:
+            self.timers.after(self.delay, self._write, connection, since)
         else:
-            self._write(link, since)
+            self._write(connection, since)
 
-    def _write(self, link: DiscoveryLink, since: int) -> None:
-        if link not in self.links:
+    def _write(self, connection: DiscoveryConnection, since: int) -> None:
+        if connection not in self.connections:
             return
         if self.mode == "down":
-            link.say("503 Service Unavailable", b"")
+            connection.respond("503 Service Unavailable", b"")
             return
         oldest = self.history[0][0] if self.history else self.revision + 1
-        whole = since < 0 or since > self.revision or since + 1 < min(oldest, self.revision + 1)
-        if whole:
+        complete = since < 0 or since > self.revision or since + 1 < min(oldest, self.revision + 1)
+        if complete:
             boxes = [box for box, phase in self.phases.items() if phase != "removed"]
         else:
             boxes = list(dict.fromkeys(box for revision, box in self.history if revision > since))
-        told = self.revision - (STEP_BACK if self.mode == "back" else 0)
+        sent_revision = self.revision - (REVISION_STEP_BACK if self.mode == "back" else 0)
         body = json.dumps(
-            {"revision": told, "complete": whole, "members": [self.entry(box, link.relay) for box in boxes]}
+            {
+                "revision": sent_revision,
+                "complete": complete,
+                "members": [self.entry(box, connection.relay) for box in boxes],
+            }
         ).encode()
         cut = self.mode == "cut"
         if not cut:
             for box in boxes:
-                self.book.write(ListDelivery(self.now(), link.relay, box, self.phases[box], self.revision))
-            self.heard[link.relay] = self.revision
-        link.say("200 OK", body, cut)
+                self.event_log.write(
+                    ListDelivery(self.now(), connection.relay, box, self.phases[box], self.revision)
+                )
+            self.delivered[connection.relay] = self.revision
+        connection.respond("200 OK", body, cut)
         if self.mode == "repeat" and not cut:
-            # The same answer once more, for which nobody has asked.
-            link.say("200 OK", body)
+            # Repeats the response without a request for it.
+            connection.respond("200 OK", body)
 
     def entry(self, box: int, relay: int) -> dict[str, Any]:
+        """Returns the list entry of a box as one relay gets it."""
         plan = self.plan.boxes[box]
-        shift = self.shifts.get(box, 0)
-        # One that came back elsewhere is reached straight.
-        way = relay in self.plan.proxied_relays and not shift
+        offset = self.port_offsets.get(box, 0)
+        # A box that restarted at another address is reached without the proxy.
+        proxied = relay in self.plan.proxied_relays and not offset
         return {
             "id": plan.name,
-            "host_port": f"{(box_proxy_address if way else box_address)(box, relay)}:{self.port + shift}",
+            "host_port": f"{(box_proxy_address if proxied else box_address)(box, relay)}:"
+            f"{self.port + offset}",
             "locality": plan.zone,
             "flavor": plan.kind,
             "cell": plan.cell,
@@ -200,10 +236,10 @@
         }
 
     def initial_list(self, relay: int) -> dict[str, Any]:
-        """The list as the rig hands it to a relay at its start, which counts as told like any."""
-        self.heard[relay] = self.revision
+        """Returns the list that the rig passes to a relay at its start, and logs it as delivered."""
+        self.delivered[relay] = self.revision
         for box in {box for _, box in self.history if self.phases[box] != "removed"}:
-            self.book.write(ListDelivery(self.now(), relay, box, self.phases[box], self.revision))
+            self.event_log.write(ListDelivery(self.now(), relay, box, self.phases[box], self.revision))
         return {
             "revision": self.revision,
             "complete": True,
--- a/cedarledge/standins/event_log.py
+++ b/cedarledge/standins/event_log.py
@@ -1,7 +1,8 @@
-"""What the stand-ins write down, each process in a book of its own; the judge reads them all.
+"""Event logs: each process of a run writes the events that it observes to a file, and the judge reads all
+files.
 
-A book is a file of msgpack records, each behind its length. It is written as things happen, so that a process
-that dies leaves what it saw. Times are ns after the run's start.
+A file is a sequence of msgpack records, each prefixed with its length. Records are written as the events
+happen, so a process that dies leaves what it has recorded. All times are ns after the start of the run.
 """
 
 from __future__ import annotations
@@ -15,42 +16,43 @@
 
 
 class BoxAttempt(msgspec.Struct, tag="Setup", array_like=True):
-    """One setup as its box saw it, from the first byte of its line to the end of its connection."""
+    """One connection attempt as its box sees it, from the first byte of the request to the connection's
+    end."""
 
     box: int
     relay: int
-    tun: str
-    began: int
-    whole: int  # the line's last byte had come
-    word: str = ""  # how the box answered: UP, BUSY, ERR, or nothing
-    answered: int = -1
+    connection_id: str
+    started_at: int  # the first byte of the request arrived
+    received_at: int  # the request was complete
+    answer: str = ""  # UP, BUSY, ERR, or empty if the box did not answer
+    answered_at: int = -1
     receipt: str = ""
-    ended: int = -1
-    by_box: bool = False  # the box ended it
-    gaps: int = 0  # lines that never came or came twice, out of their numbers
-    held: int = 0  # lines that were on their way for over a second
+    ended_at: int = -1
+    ended_by_box: bool = False
+    sequence_gaps: int = 0  # lines with an unexpected sequence number: lost, repeated or reordered
+    delayed_lines: int = 0  # lines that took over a second to arrive
 
 
 class ClientRequest(msgspec.Struct, tag="Call", array_like=True):
-    """One tunnel as its client saw it."""
+    """One connection request as its client sees it, from the request to the connection's end."""
 
-    tun: str
+    connection_id: str
     relay: int
     profile: int
-    began: int  # the line was handed over
-    wait: int
-    word: str = ""  # UP, BUSY, ERR, CLOSED, GAVE_UP, UNREACHED, or whatever else came
-    answered: int = -1
+    started_at: int  # the request was written
+    timeout: int
+    answer: str = ""  # UP, BUSY, ERR, CLOSED, GAVE_UP, UNREACHED, or the start of any other line
+    answered_at: int = -1
     receipt: str = ""
-    more: int = 0  # answers after the last one
-    ended: int = -1
-    how: str = ""  # an open one's end: MOVE, BYE, cut, left, over
-    gaps: int = 0
-    held: int = 0
+    extra_answers: int = 0  # lines after the final answer that should not have been sent
+    ended_at: int = -1
+    end_reason: str = ""  # of an open connection: MOVE, BYE, cut, reset, left, over
+    sequence_gaps: int = 0
+    delayed_lines: int = 0
 
 
 class ListDelivery(msgspec.Struct, tag="Told", array_like=True):
-    """Discovery has written to a relay what became of a box."""
+    """Discovery wrote the state of a box to a relay."""
 
     at: int
     relay: int
@@ -60,15 +62,15 @@
 
 
 class ColdOverload(msgspec.Struct, tag="Fell", array_like=True):
-    """A cold box was pushed over."""
+    """A cold box failed because of overload."""
 
     at: int
     box: int
-    asked: float
+    load_ratio: float
 
 
 class UnexpectedLine(msgspec.Struct, tag="Alien", array_like=True):
-    """A box was sent what no usual client said."""
+    """A box received a line that no well-behaved client sends."""
 
     at: int
     box: int
@@ -77,17 +79,18 @@
 
 
 class MisbehavingClient(msgspec.Struct, tag="Rude", array_like=True):
-    """One bad client: what it did, and how long until it had its error or its end; below 0: never."""
+    """One client that sends invalid input, and how long the relay took to answer or close; below 0: it did
+    not."""
 
     at: int
     relay: int
     kind: str
-    took: int
-    word: str
+    closed_after: int
+    answer: str
 
 
 class ServedSecond(msgspec.Struct, tag="Second", array_like=True):
-    """One second of one profile's clients in one process: client seconds wanted, and served within the
+    """One second of one profile's clients in one process, in client seconds: wanted, and served within the
     goal."""
 
     second: int
@@ -97,37 +100,37 @@
 
 
 class BoxLoad(msgspec.Struct, tag="BoxSecond", array_like=True):
-    """One second of one box."""
+    """Load of one box in one second."""
 
     second: int
     box: int
-    asked: float
-    held: int
+    load_ratio: float
+    connections: int
 
 
 class RelayLifetime(msgspec.Struct, tag="Life", array_like=True):
     """One process of a relay, from its start to its end."""
 
     relay: int
-    began: int
-    ready: int | None  # first PONG
-    ended: int
-    how: str  # killed, stopped, crashed, over
-    code: int
+    started_at: int
+    ready_at: int | None  # first PONG
+    ended_at: int
+    end_reason: str  # killed, stopped, crashed, over
+    exit_code: int
     cpu_ns: int
     peak_kb: int
 
 
 class PeerTraffic(msgspec.Struct, tag="Carried", array_like=True):
-    """What one relay sent to the others, all told."""
+    """Total that one relay sent to the other relays in a run."""
 
     relay: int
-    size: int  # bytes, without headers
+    bytes_sent: int  # without headers
     datagrams: int
 
 
 class MembershipView(msgspec.Struct, tag="Seen", array_like=True):
-    """Whom a relay held there to be, by its own word: `self`, or a member's state."""
+    """The members that a relay reports: by relay, `self` or the member's state."""
 
     at: int
     relay: int
@@ -135,9 +138,10 @@
 
 
 class TimerLateness(msgspec.Struct, tag="Late", array_like=True):
-    """How late a stand-in process itself ran at the worst: past a bound the run counts for nothing."""
+    """Worst delay of an emulator process's own timers; a run with a delay past the judge's limit is
+    invalid."""
 
-    who: str
+    process: str
     worst: int
     at: int
 
@@ -162,25 +166,29 @@
 
 
 class EventLog:
-    """Writes one process's records."""
+    """Writes the records of one process to a file."""
 
     def __init__(self, path: str | Path) -> None:
+        """Creates the file, or truncates it."""
         self._file: IO[bytes] = Path(path).open("wb", buffering=1 << 16)  # noqa: SIM115  closed in close
 
     def write(self, record: Record) -> None:
+        """Appends a record to the file's buffer."""
         data = _encoder.encode(record)
         self._file.write(_LENGTH.pack(len(data)))
         self._file.write(data)
 
     def flush(self) -> None:
+        """Passes buffered records to the operating system, so that they survive the death of the process."""
         self._file.flush()
 
     def close(self) -> None:
+        """Flushes and closes the file; nothing can be written after this."""
         self._file.close()
 
 
 def read_event_log(path: str | Path) -> Iterator[Record]:
-    """The records of a book; one that was cut off at its end is read up to there."""
+    """Yields the records of a file; a truncated last record is left out."""
     data = memoryview(Path(path).read_bytes())
     at = 0
     while at + _LENGTH.size <= len(data):
@@ -193,4 +201,5 @@
 
 
 def read_event_logs(paths: Iterable[str | Path]) -> list[Record]:
+    """Returns the records of several files, file by file."""
     return [record for path in paths for record in read_event_log(path)]
--- a/cedarledge/standins/judge.py
+++ b/cedarledge/standins/judge.py
@@ -1,7 +1,8 @@
-"""Judges a run by the stand-ins' books alone. No I/O, no clock, no word of a relay's.
+"""Judges a run by the emulators' event logs only, without I/O, clock or anything that a relay reports.
 
-The rules are the platform's, with its 50 ms for the way. Where a relay was killed the tunnels that it held
-are their clients' to open again; where a stand-in ran late the run says so and counts for nothing.
+The rules are the platform's, with 50 ms more for the time on the network. When a relay is killed, its clients
+have to reconnect by themselves, which is no violation. A run in which an emulator ran late is marked as
+invalid.
 """
 
 from __future__ import annotations
@@ -26,27 +27,28 @@
     TimerLateness,
     UnexpectedLine,
 )
-from cedarledge.standins.membership_audit import pause_spans, peers_figures
-from cedarledge.standins.plan import LIST, Plan
+from cedarledge.standins.membership_audit import membership_figures, pause_spans
+from cedarledge.standins.plan import DISCOVERY, Plan
 from cedarledge.terms import MS, SECOND
 
-# By how much the limits on sockets are longer, for the way and the system.
+# Added to every limit, for the network and the operating system.
 GRACE = 50 * MS
-# A bad client is owed its error or its end within this.
-TURNED_OUT = 3 * SECOND
-# How long after its client has left a setup may still go out for it.
-LEFT_FOR = 100 * MS
-# Past this a stand-in's own lateness would be taken for the relay's.
-TOO_LATE = 150 * MS
-# What a killed relay's clients see may come this much before and after the moment noted.
+# A misbehaving client must get its error or be disconnected within this time.
+MISBEHAVING_LIMIT = 3 * SECOND
+# An attempt may still be sent this long after its client has left.
+AFTER_LEAVE = 100 * MS
+# With a worse lateness of its own timers an emulator's delay would be taken for the relay's.
+MAX_LATENESS = 150 * MS
+# Effects of a relay's death may be seen this long before and after the recorded time.
 KILL_SLACK = 300 * MS
-# What was held up on a way comes within this once it is whole again.
-WAY_SLACK = SECOND
-# How long a relay whose way to discovery was broken may take to notice, and to ask anew.
-ASKS_AGAIN = 25 * SECOND
-# A process that turns away all that it gets, this many or more, for so long with no setup in between is idle.
-IDLE_CALLS, IDLE_FOR = 15, 4 * SECOND
-# Words of a call that had no answer of a relay's.
+# Bytes that a link held back arrive within this time after it is restored.
+LINK_SLACK = SECOND
+# After its link to discovery was disturbed, a relay may take this long to notice and to ask again.
+DISCOVERY_RECOVERY = 25 * SECOND
+# A relay is idle if it rejects all of at least this many requests, for this long, without an attempt in
+# between.
+IDLE_REQUESTS, IDLE_FOR = 15, 4 * SECOND
+# What a request's `answer` says if the relay did not answer.
 NO_ANSWER = frozenset(("CLOSED", "GAVE_UP", "UNREACHED", ""))
 RULES = (
     "unanswered",
@@ -68,15 +70,15 @@
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """One broken rule: which, when, and what was seen."""
+    """One violation: the rule, the time, and what was observed."""
 
     rule: str
     at: int
     what: str
 
 
-class BySecond(msgspec.Struct, frozen=True):
-    """The answers that clients got in one second, the setups that reached boxes, and how long placing
+class SecondSummary(msgspec.Struct, frozen=True):
+    """The answers to clients in one second, the attempts that reached boxes, and the time that placing
     took."""
 
     second: int
@@ -89,7 +91,7 @@
 
 
 class Verdict(msgspec.Struct):
-    """What came of a run."""
+    """The result of a run; its fields are the keys of the verdict's JSON."""
 
     scenario: str
     seed: int
@@ -99,35 +101,36 @@
     seconds: float
     answers: dict[str, int]
     no_answer: dict[str, int]
-    findings: list[Finding]
-    counts: dict[str, int]  # of findings, by rule
-    well_served: dict[str, float]
+    findings: list[Finding]  # the first 200
+    counts: dict[str, int]  # of violations, by rule
+    well_served: dict[str, float]  # served share of the client seconds, by profile
     well_served_all: float
-    credit_served: float  # of the credit that the seconds wanted are worth
+    credit_served: float  # served share of the value of all client seconds
     setups_per_tunnel: float
     placement_ms: dict[str, float]
     moves: int
-    idle_relays: int  # that turned away all that they got for some seconds
+    idle_relays: int  # rejected all requests for some seconds
     relay_cpu_s: float
     relay_peak_mb: float
-    peers: dict[str, Any]  # empty where relays did not know each other
+    peers: dict[str, Any]  # figures of membership; empty if the relays have none
     standins_late: bool
     standins_late_ms: float
     seconds_by_profile: dict[str, list[tuple[int, float, float]]]
     load_by_box: dict[str, list[tuple[int, float, int]]]
-    by_second: list[BySecond]
+    by_second: list[SecondSummary]
 
     @property
     def passed(self) -> bool:
+        """Whether no rule was violated."""
         return not self.findings
 
     def to_flat_dict(self) -> dict[str, Any]:
-        """As `--json` gives it: the rules' counts beside the figures."""
-        told = msgspec.to_builtins(self)
-        counts = told.pop("counts")
+        """Returns what `--json` prints: the counts of the rules beside the figures."""
+        figures = msgspec.to_builtins(self)
+        counts = figures.pop("counts")
         return (
             {
-                name: told[name]
+                name: figures[name]
                 for name in (
                     "scenario",
                     "seed",
@@ -140,335 +143,450 @@
                 )
             }
             | counts
-            | {name: value for name, value in told.items() if name not in counts}
+            | {name: value for name, value in figures.items() if name not in counts}
         )
 
 
 def quantile(ordered: list[float], part: float) -> float:
+    """Returns a quantile of sorted values; 0.0 if there are none."""
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else 0.0
 
 
 class Judge:
-    """Reads the records of one run and says what they prove."""
+    """Checks the records of one run against the rules and computes its figures."""
 
     def __init__(self, plan: Plan, records: Iterable[Record]) -> None:
+        """Takes the records of all event logs in any order."""
         self.plan = plan
-        self.kinds: dict[type, list[Any]] = defaultdict(list)
+        self.records: dict[type, list[Any]] = defaultdict(list)
         for record in records:
-            self.kinds[type(record)].append(record)
+            self.records[type(record)].append(record)
         self.findings: list[Finding] = []
-        self.down: dict[int, list[int]] = defaultdict(list)
-        for life in self.kinds[RelayLifetime]:
-            # A planned stop costs nobody anything, so it excuses nothing.
-            if life.how in ("killed", "crashed"):
-                self.down[life.relay].append(life.ended)
-        self.cuts: dict[tuple[int, int], list[int]] = defaultdict(list)  # when a relay was cut off from a box
-        self.partitions: dict[tuple[int, int], list[tuple[int, int]]] = defaultdict(list)  # from, to
-        for act in plan.events:
-            if act.target == "box" and act.action == "cut" and act.size:
-                self.cuts[act.relay, act.index].append(act.at)
-            elif act.target == "box" and act.action == "cut" and self.cuts[act.relay, act.index]:
-                self.partitions[act.relay, act.index].append((self.cuts[act.relay, act.index][-1], act.at))
+        self.deaths: dict[int, list[int]] = defaultdict(list)
+        for life in self.records[RelayLifetime]:
+            # A planned stop must not affect any client, so it excuses nothing.
+            if life.end_reason in ("killed", "crashed"):
+                self.deaths[life.relay].append(life.ended_at)
+        # By relay and box: when a partition began, and the spans of those that ended.
+        self.cuts: dict[tuple[int, int], list[int]] = defaultdict(list)
+        self.partitions: dict[tuple[int, int], list[tuple[int, int]]] = defaultdict(list)
+        for event in plan.events:
+            if event.target == "box" and event.action == "cut" and event.size:
+                self.cuts[event.relay, event.index].append(event.at)
+            elif event.target == "box" and event.action == "cut" and self.cuts[event.relay, event.index]:
+                self.partitions[event.relay, event.index].append(
+                    (self.cuts[event.relay, event.index][-1], event.at)
+                )
         self.pause_spans = pause_spans(plan)
-        # When a relay's way to a box, or to discovery (-1), was not whole.
-        self.ways: dict[tuple[int, int], list[tuple[int, int]]] = defaultdict(list)
+        # By relay and box, or discovery (-1): when a fault of the link between them was on.
+        self.link_faults: dict[tuple[int, int], list[tuple[int, int]]] = defaultdict(list)
         since: dict[tuple[int, int, str], int] = {}
-        for act in plan.events:
-            if act.target == "way" and act.size:
-                since[act.relay, act.index, act.action] = act.at
-            elif act.target == "way":
-                began = since.pop((act.relay, act.index, act.action), 0)
-                self.ways[act.relay, act.index].append((began, act.at))
-        self.setups: dict[str, list[BoxAttempt]] = defaultdict(list)
-        for setup in sorted(self.kinds[BoxAttempt], key=lambda setup: (setup.whole, setup.box)):
-            self.setups[setup.tun].append(setup)
+        for event in plan.events:
+            if event.target == "way" and event.size:
+                since[event.relay, event.index, event.action] = event.at
+            elif event.target == "way":
+                began = since.pop((event.relay, event.index, event.action), 0)
+                self.link_faults[event.relay, event.index].append((began, event.at))
+        self.attempts: dict[str, list[BoxAttempt]] = defaultdict(list)
+        for attempt in sorted(
+            self.records[BoxAttempt], key=lambda attempt: (attempt.received_at, attempt.box)
+        ):
+            self.attempts[attempt.connection_id].append(attempt)
 
     def verdict(self) -> Verdict:
-        plan, calls = self.plan, self.kinds[ClientRequest]
-        self._answers(calls)
-        self._setups(calls)
-        self._drains()
-        self._others()
+        """Checks all rules and returns the result; called once."""
+        plan, requests = self.plan, self.records[ClientRequest]
+        self._check_answers(requests)
+        self._check_attempts(requests)
+        self._check_drains()
+        self._check_others()
         answers = {"opened": 0, "declined": 0, "closed_with_error": 0}
         no_answer = {"gave_up": 0, "unreached": 0, "closed": 0, "at_the_end": 0}
         names = {"UP": "opened", "BUSY": "declined"}
         missing = {"GAVE_UP": "gave_up", "UNREACHED": "unreached", "": "at_the_end"}
-        for call in calls:
-            if call.word in NO_ANSWER:
-                no_answer[missing.get(call.word, "closed")] += 1
+        for request in requests:
+            if request.answer in NO_ANSWER:
+                no_answer[missing.get(request.answer, "closed")] += 1
             else:
-                answers[names.get(call.word, "closed_with_error")] += 1
-        opened = [call for call in calls if call.word == "UP"]
-        placed = sorted((call.answered - call.began) / MS for call in opened)
-        late = max(self.kinds[TimerLateness], key=lambda entry: entry.worst, default=TimerLateness("", 0, 0))
-        lives = self.kinds[RelayLifetime]
-        seconds, shares, whole, credit = self._service()
+                answers[names.get(request.answer, "closed_with_error")] += 1
+        opened = [request for request in requests if request.answer == "UP"]
+        placement = sorted((request.answered_at - request.started_at) / MS for request in opened)
+        late = max(
+            self.records[TimerLateness], key=lambda entry: entry.worst, default=TimerLateness("", 0, 0)
+        )
+        lifetimes = self.records[RelayLifetime]
+        seconds, shares, total_share, credit_share = self._service()
         counts = dict.fromkeys(RULES, 0)
         for finding in self.findings:
             counts[finding.rule] += 1
-        served = [tun for tun in self.setups if self.setups[tun]]
+        attempted = [connection_id for connection_id in self.attempts if self.attempts[connection_id]]
         return Verdict(
             plan.scenario,
             plan.seed,
             plan.relays,
             len(plan.boxes),
-            len(calls),
+            len(requests),
             plan.seconds,
             answers,
             no_answer,
             sorted(self.findings, key=lambda finding: finding.at)[:200],
             counts,
             shares,
-            whole,
-            credit,
-            sum(len(self.setups[tun]) for tun in served) / max(1, len(served)),
-            {"p50": quantile(placed, 0.5), "p99": quantile(placed, 0.99), "p999": quantile(placed, 0.999)},
-            sum(call.how == "MOVE" for call in calls),
-            sum(self._idle_since(relay, calls) >= 0 for relay in range(plan.relays)),
-            sum(life.cpu_ns for life in lives) / SECOND,
-            max((life.peak_kb for life in lives), default=0) / 1024,
-            peers_figures(plan, self.kinds) if plan.peers_enabled else {},
-            late.worst > TOO_LATE,
+            total_share,
+            credit_share,
+            sum(len(self.attempts[connection_id]) for connection_id in attempted) / max(1, len(attempted)),
+            {
+                "p50": quantile(placement, 0.5),
+                "p99": quantile(placement, 0.99),
+                "p999": quantile(placement, 0.999),
+            },
+            sum(request.end_reason == "MOVE" for request in requests),
+            sum(self._idle_since(relay, requests) >= 0 for relay in range(plan.relays)),
+            sum(life.cpu_ns for life in lifetimes) / SECOND,
+            max((life.peak_kb for life in lifetimes), default=0) / 1024,
+            membership_figures(plan, self.records) if plan.peers_enabled else {},
+            late.worst > MAX_LATENESS,
             late.worst / MS,
             seconds,
             self._loads(),
-            self._by_second(calls),
+            self._by_second(requests),
         )
 
     def _found(self, rule: str, at: int, what: str) -> None:
         self.findings.append(Finding(rule, at, what))
 
-    def _was_down(self, relay: int, begin: int, end: int) -> bool:
-        """Whether the relay's process ended in that span, which costs what it held."""
-        return any(begin - KILL_SLACK <= at <= end + KILL_SLACK for at in self.down[relay])
+    def _died(self, relay: int, begin: int, end: int) -> bool:
+        """Tells whether the relay's process died in that span, which ends its connections."""
+        return any(begin - KILL_SLACK <= at <= end + KILL_SLACK for at in self.deaths[relay])
 
-    def _stood_still(self, relay: int, begin: int, end: int) -> bool:
-        """Whether the schedule had stopped its process in that span: what waited meanwhile is not its
-        fault."""
+    def _was_paused(self, relay: int, begin: int, end: int) -> bool:
+        """Tells whether the schedule paused the relay's process in that span, which excuses delays."""
         return any(
             since <= end + KILL_SLACK and begin - KILL_SLACK <= until
             for since, until in self.pause_spans[relay]
         )
 
-    def _way_broken(self, relay: int, box: int, begin: int, end: int) -> bool:
-        """Whether the schedule held up or slowed what went between them in that span."""
-        return any(since <= end and begin - WAY_SLACK <= until for since, until in self.ways[relay, box])
+    def _link_disturbed(self, relay: int, box: int, begin: int, end: int) -> bool:
+        """Tells whether a fault of the link between relay and box was on in that span."""
+        return any(
+            since <= end and begin - LINK_SLACK <= until for since, until in self.link_faults[relay, box]
+        )
 
-    # -- no tunnel is lost -------------------------------------------------------------------------
+    # -- no request is lost ------------------------------------------------------------------------
 
-    def _answers(self, calls: list[ClientRequest]) -> None:
+    def _check_answers(self, requests: list[ClientRequest]) -> None:
         end = int(self.plan.seconds * SECOND)
-        for call in calls:
-            due = call.began + call.wait + GRACE
-            if call.word in NO_ANSWER:
-                in_grace = call.word == "GAVE_UP" and 0 <= call.answered <= due
-                # One that was never reached has no relay to blame; one that the run's end met was not waited
-                # for.
+        for request in requests:
+            due = request.started_at + request.timeout + GRACE
+            if request.answer in NO_ANSWER:
+                in_grace = request.answer == "GAVE_UP" and 0 <= request.answered_at <= due
+                # A request that did not reach any relay is no relay's fault; one that was due after the end
+                # of the run was not awaited.
                 if (
-                    call.word in ("CLOSED", "GAVE_UP")
+                    request.answer in ("CLOSED", "GAVE_UP")
                     and not in_grace
                     and due < end
-                    and not self._was_down(call.relay, call.began, max(due, call.answered))
-                    and not self._stood_still(call.relay, call.began, max(due, call.answered))
+                    and not self._died(request.relay, request.started_at, max(due, request.answered_at))
+                    and not self._was_paused(request.relay, request.started_at, max(due, request.answered_at))
                 ):
-                    rule = "unanswered" if call.answered < 0 or call.word == "CLOSED" else "answered_late"
-                    self._found(rule, call.began, f"{call.tun} at relay {call.relay}: {call.word}")
-            elif call.answered > due and not self._stood_still(call.relay, call.began, call.answered):
-                self._found("answered_late", call.answered, f"{call.tun}: {call.word}")
-            if call.more:
+                    rule = (
+                        "unanswered"
+                        if request.answered_at < 0 or request.answer == "CLOSED"
+                        else "answered_late"
+                    )
+                    self._found(
+                        rule,
+                        request.started_at,
+                        f"{request.connection_id} at relay {request.relay}: {request.answer}",
+                    )
+            elif request.answered_at > due and not self._was_paused(
+                request.relay, request.started_at, request.answered_at
+            ):
+                self._found(
+                    "answered_late", request.answered_at, f"{request.connection_id}: {request.answer}"
+                )
+            if request.extra_answers:
                 self._found(
                     "answered_twice",
-                    call.answered,
-                    f"{call.tun} at relay {call.relay}: {call.more} more after {call.word}",
+                    request.answered_at,
+                    f"{request.connection_id} at relay {request.relay}: {request.extra_answers} more lines "
+                    f"after {request.answer}",
                 )
-            if call.gaps:
-                self._found("lines_lost", call.ended, f"{call.tun}: {call.gaps} gaps, to its client")
-            if call.word == "UP":
-                self._open_one(call)
-            elif call.word in ("", "GAVE_UP") and call.how in ("left", "gave up"):
-                self._left(call)
-
-    def _left(self, call: ClientRequest) -> None:
-        """It has left while it waited: nobody is there for what goes out now."""
-        for setup in self.setups[call.tun]:
-            late = setup.began - call.ended - self._far(setup.relay, setup.box)
+            if request.sequence_gaps:
+                self._found(
+                    "lines_lost",
+                    request.ended_at,
+                    f"{request.connection_id}: {request.sequence_gaps} sequence gaps, to its client",
+                )
+            if request.answer == "UP":
+                self._check_open_connection(request)
+            elif request.answer in ("", "GAVE_UP") and request.end_reason in ("left", "gave up"):
+                self._check_left(request)
+
+    def _check_left(self, request: ClientRequest) -> None:
+        """Checks that no attempt was sent long after the client left while it waited for the answer."""
+        for attempt in self.attempts[request.connection_id]:
+            late = attempt.started_at - request.ended_at - self._zone_delay(attempt.relay, attempt.box)
             if (
-                late > LEFT_FOR + GRACE
-                and not self._stood_still(setup.relay, setup.began, setup.began)
-                and not self._way_broken(setup.relay, setup.box, setup.began, setup.began)
+                late > AFTER_LEAVE + GRACE
+                and not self._was_paused(attempt.relay, attempt.started_at, attempt.started_at)
+                and not self._link_disturbed(
+                    attempt.relay, attempt.box, attempt.started_at, attempt.started_at
+                )
             ):
-                self._found("sent_on_after_leaving", setup.began, f"{call.tun}: {late // MS} ms after")
+                self._found(
+                    "sent_on_after_leaving",
+                    attempt.started_at,
+                    f"{request.connection_id}: attempt {late // MS} ms after its client left",
+                )
 
-    def _open_one(self, call: ClientRequest) -> None:
-        mine = [
-            setup
-            for setup in self.setups[call.tun]
-            if setup.receipt and setup.receipt == call.receipt and setup.relay == call.relay
+    def _check_open_connection(self, request: ClientRequest) -> None:
+        matching = [
+            attempt
+            for attempt in self.attempts[request.connection_id]
+            if attempt.receipt and attempt.receipt == request.receipt and attempt.relay == request.relay
         ]
-        if not mine:
-            self._found("not_what_a_box_made", call.answered, f"{call.tun}: UP {call.receipt}")
+        if not matching:
+            self._found(
+                "not_what_a_box_made", request.answered_at, f"{request.connection_id}: UP {request.receipt}"
+            )
             return
-        setup = mine[0]
-        cut_off = any(setup.began <= at <= setup.ended for at in self.cuts[setup.relay, setup.box]) or (
-            self._stood_still(setup.relay, setup.began, setup.ended)
-            or self._way_broken(setup.relay, setup.box, setup.began, setup.ended)
+        attempt = matching[0]
+        disturbed = any(
+            attempt.started_at <= at <= attempt.ended_at for at in self.cuts[attempt.relay, attempt.box]
+        ) or (
+            self._was_paused(attempt.relay, attempt.started_at, attempt.ended_at)
+            or self._link_disturbed(attempt.relay, attempt.box, attempt.started_at, attempt.ended_at)
         )
-        if call.held and not cut_off and not self._stood_still(call.relay, call.began, call.ended):
-            self._found("lines_lost", call.ended, f"{call.tun}: {call.held} held, to its client")
-        if setup.gaps or (setup.held and not cut_off):
+        if (
+            request.delayed_lines
+            and not disturbed
+            and not self._was_paused(request.relay, request.started_at, request.ended_at)
+        ):
+            self._found(
+                "lines_lost",
+                request.ended_at,
+                f"{request.connection_id}: {request.delayed_lines} delayed lines, to its client",
+            )
+        if attempt.sequence_gaps or (attempt.delayed_lines and not disturbed):
             self._found(
-                "lines_lost", setup.ended, f"{call.tun}: {setup.gaps} gaps, {setup.held} held, to its box"
+                "lines_lost",
+                attempt.ended_at,
+                f"{request.connection_id}: {attempt.sequence_gaps} sequence gaps, "
+                f"{attempt.delayed_lines} delayed lines, to its box",
             )
-        if call.how not in ("cut", "reset"):
+        if request.end_reason not in ("cut", "reset"):
             return
-        # The box ended it first, or the relay died: then the client was cut off by neither's fault.
-        by_box = setup.by_box and setup.ended <= call.ended + KILL_SLACK
-        if not by_box and not self._was_down(call.relay, call.ended, call.ended):
-            self._found("cut_without_move", call.ended, f"{call.tun} at relay {call.relay}, box {setup.box}")
+        # If the box closed first or the relay died, the cut is not a violation.
+        by_box = attempt.ended_by_box and attempt.ended_at <= request.ended_at + KILL_SLACK
+        if not by_box and not self._died(request.relay, request.ended_at, request.ended_at):
+            self._found(
+                "cut_without_move",
+                request.ended_at,
+                f"{request.connection_id} at relay {request.relay}, box {attempt.box}",
+            )
 
     # -- no effect twice ---------------------------------------------------------------------------
 
-    def _setups(self, calls: list[ClientRequest]) -> None:
+    def _check_attempts(self, requests: list[ClientRequest]) -> None:
         profiles = self.plan.profiles
-        by_tun = {call.tun: call for call in calls}
-        for tun, setups in self.setups.items():
-            call = by_tun.get(tun)
-            for one, two in pairwise(setups):
-                over = min(
-                    at for at in (one.answered if one.word != "UP" else -1, one.ended, 1 << 62) if at >= 0
+        by_id = {request.connection_id: request for request in requests}
+        for connection_id, attempts in self.attempts.items():
+            request = by_id.get(connection_id)
+            for one, two in pairwise(attempts):
+                over_at = min(
+                    at
+                    for at in (one.answered_at if one.answer != "UP" else -1, one.ended_at, 1 << 62)
+                    if at >= 0
                 )
-                # At the relay's end of a way that is held up the first is over; its box can't know.
-                broken = self._way_broken(one.relay, one.box, one.began, two.whole)
-                broken = broken or self._was_read_late(one, two)
-                if two.whole < over - GRACE - 2 * self._far(one.relay, one.box) and not broken:
-                    self._found("overlapping_setups", two.whole, f"{tun}: boxes {one.box} and {two.box}")
-            if call is None:
+                # With a disturbed link the relay may have ended the first attempt before its box sees that.
+                excused = self._link_disturbed(one.relay, one.box, one.started_at, two.received_at)
+                excused = excused or self._was_read_late(one, two)
+                if (
+                    two.received_at < over_at - GRACE - 2 * self._zone_delay(one.relay, one.box)
+                    and not excused
+                ):
+                    self._found(
+                        "overlapping_setups",
+                        two.received_at,
+                        f"{connection_id}: boxes {one.box} and {two.box}",
+                    )
+            if request is None:
                 continue
-            row = profiles[call.profile]
-            for place, later in enumerate(setups):
-                ran = [setup for setup in setups[:place] if setup.word != "BUSY"]
-                if ran and not self._may_follow(row, ran[0], later):
+            profile = profiles[request.profile]
+            for position, later in enumerate(attempts):
+                ran = [attempt for attempt in attempts[:position] if attempt.answer != "BUSY"]
+                if ran and not self._may_follow(profile, ran[0], later):
                     self._found(
-                        "ran_twice", later.whole, f"{tun} ({row.effect}): boxes {ran[0].box}, {later.box}"
+                        "ran_twice",
+                        later.received_at,
+                        f"{connection_id} ({profile.effect}): boxes {ran[0].box}, {later.box}",
                     )
-            ran = [setup for setup in setups if setup.word != "BUSY" and setup.whole < call.answered]
-            harmless = row.effect == "pure" or (row.effect == "token" and row.group == "all")
-            if call.word == "BUSY" and ran and not harmless:
-                self._found("declined_after_run", call.answered, f"{tun} ({row.effect}): box {ran[0].box}")
+            ran = [
+                attempt
+                for attempt in attempts
+                if attempt.answer != "BUSY" and attempt.received_at < request.answered_at
+            ]
+            repeatable = profile.effect == "pure" or (profile.effect == "token" and profile.group == "all")
+            if request.answer == "BUSY" and ran and not repeatable:
+                self._found(
+                    "declined_after_run",
+                    request.answered_at,
+                    f"{connection_id} ({profile.effect}): box {ran[0].box}",
+                )
 
     def _was_read_late(self, one: BoxAttempt, two: BoxAttempt) -> bool:
-        """Whether the second may have been over before the first was sent: its way held it up, and its end
-        came no later than that way, or a partition, may have held up an end from before the first."""
-        if two.ended < 0:
+        """Tells whether the second attempt may have ended before the first was sent.
+
+        That is so if a partition or a disturbed link delayed the second attempt, and its end came no later
+        than they can delay an end that was sent before the first attempt.
+        """
+        if two.ended_at < 0:
             return False
         if any(
-            since <= one.began <= until and until <= two.whole and two.ended <= until + GRACE
+            since <= one.started_at <= until and until <= two.received_at and two.ended_at <= until + GRACE
             for since, until in self.partitions[two.relay, two.box]
         ):
             return True
         return (
-            self._way_broken(two.relay, two.box, one.began, two.whole) and two.ended <= one.began + WAY_SLACK
+            self._link_disturbed(two.relay, two.box, one.started_at, two.received_at)
+            and two.ended_at <= one.started_at + LINK_SLACK
         )
 
-    def _may_follow(self, row: Any, first: BoxAttempt, later: BoxAttempt) -> bool:
-        if row.effect == "pure":
+    def _may_follow(self, profile: Any, first: BoxAttempt, later: BoxAttempt) -> bool:
+        if profile.effect == "pure":
             return True
-        if row.effect != "token" or later.whole > first.whole + row.window + GRACE:
+        if profile.effect != "token" or later.received_at > first.received_at + profile.window + GRACE:
             return False
         one, two = self.plan.boxes[first.box], self.plan.boxes[later.box]
-        return {"all": True, "zone": one.zone == two.zone, "cell": one.cell == two.cell}[row.group]
-
-    # -- drains are kept ---------------------------------------------------------------------------
-
-    def _drains(self) -> None:
-        told: dict[tuple[int, int], list[tuple[int, str, int]]] = defaultdict(list)
-        for entry in sorted(self.kinds[ListDelivery], key=lambda entry: entry.at):
-            heard = self._heard(entry.relay, entry.at) + self.plan.drain_grace + GRACE
-            heard += self._far(entry.relay, entry.box)
-            told[entry.relay, entry.box].append((entry.at, entry.phase, heard))
-        for setups in self.setups.values():
-            for setup in setups:
-                before = [entry for entry in told[setup.relay, setup.box] if entry[2] < setup.began]
+        return {"all": True, "zone": one.zone == two.zone, "cell": one.cell == two.cell}[profile.group]
+
+    # -- drains are respected ----------------------------------------------------------------------
+
+    def _check_drains(self) -> None:
+        # By relay and box: when a state was written, the state, and from when on the relay must respect it.
+        deliveries: dict[tuple[int, int], list[tuple[int, str, int]]] = defaultdict(list)
+        for entry in sorted(self.records[ListDelivery], key=lambda entry: entry.at):
+            binding_at = self._received_at(entry.relay, entry.at) + self.plan.drain_grace + GRACE
+            binding_at += self._zone_delay(entry.relay, entry.box)
+            deliveries[entry.relay, entry.box].append((entry.at, entry.phase, binding_at))
+        for attempts in self.attempts.values():
+            for attempt in attempts:
+                before = [
+                    entry for entry in deliveries[attempt.relay, attempt.box] if entry[2] < attempt.started_at
+                ]
                 after = [
-                    entry for entry in told[setup.relay, setup.box] if entry[2] >= setup.began >= entry[0]
+                    entry
+                    for entry in deliveries[attempt.relay, attempt.box]
+                    if entry[2] >= attempt.started_at >= entry[0]
                 ]
-                # Told since that it is up again is told.
+                # An attempt is allowed if the relay has been sent since that the box is up again.
                 if (
                     before
                     and before[-1][1] != "up"
                     and not any(phase == "up" for _, phase, _ in after)
-                    and not self._was_down(setup.relay, before[-1][0], setup.began)
-                    # The box may read only now what it had written before.
-                    and not self._stood_still(setup.relay, setup.began, setup.began)
-                    and not self._way_broken(setup.relay, setup.box, setup.began, setup.began)
+                    and not self._died(attempt.relay, before[-1][0], attempt.started_at)
+                    # The box may read late what the relay wrote in time.
+                    and not self._was_paused(attempt.relay, attempt.started_at, attempt.started_at)
+                    and not self._link_disturbed(
+                        attempt.relay, attempt.box, attempt.started_at, attempt.started_at
+                    )
                 ):
                     self._found(
                         "late_sends_after_drain",
-                        setup.began,
-                        f"{setup.tun} from relay {setup.relay} to box {setup.box}, "
-                        f"{(setup.began - before[-1][0]) // MS} ms after {before[-1][1]}",
+                        attempt.started_at,
+                        f"{attempt.connection_id} from relay {attempt.relay} to box {attempt.box}, "
+                        f"{(attempt.started_at - before[-1][0]) // MS} ms after {before[-1][1]}",
                     )
 
-    def _far(self, relay: int, box: int) -> int:
+    def _zone_delay(self, relay: int, box: int) -> int:
         zones = self.plan.zones
         return zones.one_way_delay(zones.zone_of_relay(relay), self.plan.boxes[box].zone)
 
-    def _heard(self, relay: int, at: int) -> int:
-        """When a relay has heard what was written to it then; on a broken way, once that is whole and it
-        has asked again."""
-        ends = [until for since, until in self.ways[relay, LIST] if since <= at <= until + WAY_SLACK]
-        return max(ends, default=at - ASKS_AGAIN) + ASKS_AGAIN
-
-    # -- the rest ----------------------------------------------------------------------------------
-
-    def _others(self) -> None:
-        for fell in self.kinds[ColdOverload]:
-            self._found("cold_pushed_over", fell.at, f"box {fell.box} at {fell.asked:.1f} of its strength")
-        for alien in self.kinds[UnexpectedLine]:
-            self._found("bad_clients_served", alien.at, f"box {alien.box} was sent {alien.line!r}")
-        for rude in self.kinds[MisbehavingClient]:
-            ends = rude.at + TURNED_OUT + GRACE
-            if not 0 <= rude.took <= TURNED_OUT + GRACE and ends < self.plan.seconds * SECOND:
+    def _received_at(self, relay: int, at: int) -> int:
+        """Returns the time by which a relay has received what discovery wrote at `at`.
+
+        With a disturbed link that is when the link is restored and the relay has asked again.
+        """
+        ends = [
+            until for since, until in self.link_faults[relay, DISCOVERY] if since <= at <= until + LINK_SLACK
+        ]
+        return max(ends, default=at - DISCOVERY_RECOVERY) + DISCOVERY_RECOVERY
+
+    # -- other rules -------------------------------------------------------------------------------
+
+    def _check_others(self) -> None:
+        for overload in self.records[ColdOverload]:
+            self._found(
+                "cold_pushed_over",
+                overload.at,
+                f"box {overload.box} at {overload.load_ratio:.1f} times its capacity",
+            )
+        for unexpected in self.records[UnexpectedLine]:
+            self._found(
+                "bad_clients_served", unexpected.at, f"box {unexpected.box} received {unexpected.line!r}"
+            )
+        for client in self.records[MisbehavingClient]:
+            deadline = client.at + MISBEHAVING_LIMIT + GRACE
+            if (
+                not 0 <= client.closed_after <= MISBEHAVING_LIMIT + GRACE
+                and deadline < self.plan.seconds * SECOND
+            ):
+                self._found(
+                    "bad_clients_held",
+                    client.at,
+                    f"{client.kind} at relay {client.relay}: {client.closed_after // MS} ms",
+                )
+            if client.answer.startswith("UP"):
                 self._found(
-                    "bad_clients_held", rude.at, f"{rude.kind} at relay {rude.relay}: {rude.took // MS} ms"
+                    "bad_clients_served",
+                    client.at,
+                    f"{client.kind} at relay {client.relay}: {client.answer}",
                 )
-            if rude.word.startswith("UP"):
-                self._found("bad_clients_served", rude.at, f"{rude.kind} at relay {rude.relay}: {rude.word}")
-        for life in self.kinds[RelayLifetime]:
-            if life.how == "crashed":
-                self._found("crashed", life.ended, f"relay {life.relay}: exit code {life.code}")
-
-    def _idle_since(self, relay: int, calls: list[ClientRequest]) -> int:
-        """When the relay began to turn away all that it gets for long enough; below 0: never."""
-        attempts = (setup for setups in self.setups.values() for setup in setups if setup.relay == relay)
-        events = [(attempt.whole, False) for attempt in attempts]
-        events += [(call.answered, call.word == "BUSY") for call in calls if call.relay == relay]
-        rejected: list[int] = []
-        for at, turned_away in sorted(events):
-            rejected = [*rejected, at] if turned_away else []
-            if len(rejected) >= IDLE_CALLS and at - rejected[0] >= IDLE_FOR:
-                return rejected[0]
+        for life in self.records[RelayLifetime]:
+            if life.end_reason == "crashed":
+                self._found("crashed", life.ended_at, f"relay {life.relay}: exit code {life.exit_code}")
+
+    def _idle_since(self, relay: int, requests: list[ClientRequest]) -> int:
+        """Returns the start of the first idle period of a relay (see IDLE_REQUESTS); below 0: there is
+        none."""
+        sent = (
+            attempt for attempts in self.attempts.values() for attempt in attempts if attempt.relay == relay
+        )
+        events = [(one.received_at, False) for one in sent]
+        events += [
+            (request.answered_at, request.answer == "BUSY") for request in requests if request.relay == relay
+        ]
+        rejections: list[int] = []
+        for at, rejected in sorted(events):
+            rejections = [*rejections, at] if rejected else []
+            if len(rejections) >= IDLE_REQUESTS and at - rejections[0] >= IDLE_FOR:
+                return rejections[0]
         return -1
 
     # -- figures -----------------------------------------------------------------------------------
 
     def _service(self) -> tuple[dict[str, list[tuple[int, float, float]]], dict[str, float], float, float]:
+        """Returns wanted and served client seconds by profile and second, the served share by profile, the
+        total served share, and the total share weighted by value."""
         sums: dict[tuple[int, int], list[float]] = defaultdict(lambda: [0.0, 0.0])
-        for entry in self.kinds[ServedSecond]:
-            place = sums[entry.profile, entry.second]
-            place[0] += entry.wanted
-            place[1] += entry.served
+        for entry in self.records[ServedSecond]:
+            row = sums[entry.profile, entry.second]
+            row[0] += entry.wanted
+            row[1] += entry.served
         seconds: dict[str, list[tuple[int, float, float]]] = {}
         shares: dict[str, float] = {}
         totals = [0.0, 0.0, 0.0, 0.0]
-        for index, row in enumerate(self.plan.profiles):
-            line = sorted((second, *both) for (profile, second), both in sums.items() if profile == index)
-            seconds[row.name] = line
-            judged = [entry for entry in line if entry[0] >= self.plan.measured_from]
-            wanted, served = (sum(entry[place] for entry in judged) for place in (1, 2))
-            shares[row.name] = served / wanted if wanted else 0.0
-            for place, amount in enumerate((wanted, served, wanted * row.credit, served * row.credit)):
-                totals[place] += amount
+        for index, profile in enumerate(self.plan.profiles):
+            series = sorted((second, *both) for (number, second), both in sums.items() if number == index)
+            seconds[profile.name] = series
+            measured = [entry for entry in series if entry[0] >= self.plan.measured_from]
+            wanted, served = (sum(entry[column] for entry in measured) for column in (1, 2))
+            shares[profile.name] = served / wanted if wanted else 0.0
+            for column, amount in enumerate(
+                (wanted, served, wanted * profile.credit, served * profile.credit)
+            ):
+                totals[column] += amount
         return (
             seconds,
             shares,
@@ -476,37 +594,41 @@
             totals[3] / totals[2] if totals[2] else 0.0,
         )
 
-    def _by_second(self, calls: list[ClientRequest]) -> list[BySecond]:
-        words: dict[int, list[str]] = defaultdict(list)
-        took: dict[int, list[float]] = defaultdict(list)
-        reached: dict[int, int] = defaultdict(int)
-        for call in calls:
-            if call.word not in NO_ANSWER:
-                words[call.answered // SECOND].append(call.word)
-                if call.word == "UP":
-                    took[call.answered // SECOND].append((call.answered - call.began) / MS)
-        for setups in self.setups.values():
-            for setup in setups:
-                reached[setup.whole // SECOND] += 1
-        lines = []
-        for second in sorted(words.keys() | reached.keys()):
-            said, placed = words[second], sorted(took[second])
-            up, busy = said.count("UP"), said.count("BUSY")
-            lines.append(
-                BySecond(
+    def _by_second(self, requests: list[ClientRequest]) -> list[SecondSummary]:
+        answers: dict[int, list[str]] = defaultdict(list)
+        placement: dict[int, list[float]] = defaultdict(list)
+        attempted: dict[int, int] = defaultdict(int)
+        for request in requests:
+            if request.answer not in NO_ANSWER:
+                answers[request.answered_at // SECOND].append(request.answer)
+                if request.answer == "UP":
+                    placement[request.answered_at // SECOND].append(
+                        (request.answered_at - request.started_at) / MS
+                    )
+        for attempts in self.attempts.values():
+            for attempt in attempts:
+                attempted[attempt.received_at // SECOND] += 1
+        rows = []
+        for second in sorted(answers.keys() | attempted.keys()):
+            words, times = answers[second], sorted(placement[second])
+            up, busy = words.count("UP"), words.count("BUSY")
+            rows.append(
+                SecondSummary(
                     second,
                     up,
                     busy,
-                    len(said) - up - busy,
-                    reached[second],
-                    quantile(placed, 0.5),
-                    quantile(placed, 0.99),
+                    len(words) - up - busy,
+                    attempted[second],
+                    quantile(times, 0.5),
+                    quantile(times, 0.99),
                 )
             )
-        return lines
+        return rows
 
     def _loads(self) -> dict[str, list[tuple[int, float, int]]]:
         loads: dict[str, list[tuple[int, float, int]]] = defaultdict(list)
-        for entry in self.kinds[BoxLoad]:
-            loads[self.plan.boxes[entry.box].name].append((entry.second, round(entry.asked, 4), entry.held))
+        for entry in self.records[BoxLoad]:
+            loads[self.plan.boxes[entry.box].name].append(
+                (entry.second, round(entry.load_ratio, 4), entry.connections)
+            )
         return {name: sorted(loads[name]) for name in sorted(loads)}
--- a/cedarledge/standins/membership_audit.py
+++ b/cedarledge/standins/membership_audit.py
@@ -1,4 +1,4 @@
-"""What relays held of each other, against what the schedule did to them."""
+"""Compares the members that relays reported with what the schedule did to them."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from cedarledge.standins.plan import Plan
 from cedarledge.terms import SECOND
 
-# Only a spell this long without a fault says anything of views that should be whole.
+# Views are compared with the live relays at the end only after this long without a fault.
 QUIET = 10 * SECOND
-# A process that has just begun, or gone on, is owed this much before its view is looked at.
-BEGINS = 3 * SECOND
+# A process that has just started or resumed has this long until its view is checked.
+STARTUP_GRACE = 3 * SECOND
 Spans = Mapping[int, list[tuple[int, int]]]
 
 
 def pause_spans(plan: Plan) -> Spans:
-    """When the schedule had each relay's process stopped."""
+    """Returns, by relay, the spans in which the schedule paused its process."""
     spans: dict[int, list[tuple[int, int]]] = defaultdict(list)
     since: dict[int, int] = {}
-    for act in plan.events:
-        if act.target == "relay" and act.action == "pause":
-            since.setdefault(act.index, act.at)
-        elif act.target == "relay" and act.action == "resume" and act.index in since:
-            spans[act.index].append((since.pop(act.index), act.at))
+    for event in plan.events:
+        if event.target == "relay" and event.action == "pause":
+            since.setdefault(event.index, event.at)
+        elif event.target == "relay" and event.action == "resume" and event.index in since:
+            spans[event.index].append((since.pop(event.index), event.at))
     for relay, at in since.items():
         spans[relay].append((at, int(plan.seconds * SECOND)))
     return spans
@@ -35,106 +35,116 @@
     return sorted(values)[len(values) // 2] if values else None
 
 
-def peers_figures(plan: Plan, kinds: Mapping[type, list[Any]]) -> dict[str, Any]:
-    """`views`: different ones at the end among live relays. `dead_but_reachable`, `missed_dead`: members
-    held dead that live, and alive that are gone, summed over the views at the end; None without a quiet
-    spell of 10 s before it. `detect_s`: from a kill or a stop to each other relay's holding it dead.
-    `agree_s`: from the last fault's end to the time from which on nobody missed a live one.
-    `bytes_per_s`: sent by one relay."""
+def membership_figures(plan: Plan, records: Mapping[type, list[Any]]) -> dict[str, Any]:
+    """Returns the figures of membership; `records` has the event logs' records by type.
+
+    `views`: number of different views among live relays at the end. `dead_but_reachable`, `missed_dead`: live
+    members that a view has as dead or lacks, and gone members that it has as alive, summed over the views at
+    the end; None unless the last 10 s were without a fault. `detect_s`: from a kill or a pause until each
+    other relay has the member as dead. `agree_s`: from the end of the last fault until no view lacks a live
+    relay any more; None: never. `bytes_per_s`: sent by one relay.
+    """
     end = int(plan.seconds * SECOND)
-    lives: list[RelayLifetime] = kinds[RelayLifetime]
+    lifetimes: list[RelayLifetime] = records[RelayLifetime]
     pauses = pause_spans(plan)
 
-    def up(relay: int, at: int) -> bool:
-        """Its process ran, and had for a while."""
+    def is_up(relay: int, at: int) -> bool:
+        """Tells whether the relay's process ran at that time and had run since its start-up grace."""
         return any(
-            life.relay == relay and life.ready is not None and life.ready + BEGINS <= at <= life.ended
-            for life in lives
-        ) and not any(since <= at <= until + BEGINS for since, until in pauses[relay])
-
-    def gone(relay: int, since: int, at: int) -> bool:
-        """It ran at no time from then to there."""
-        return not any(life.relay == relay and life.began <= at and life.ended >= since for life in lives)
-
-    looks: dict[int, list[MembershipView]] = defaultdict(list)
-    for seen in sorted(kinds[MembershipView], key=lambda seen: seen.at):
-        looks[seen.relay].append(seen)
-    acts = [act.at for act in plan.events if act.target in ("relay", "lane") and act.at < end]
-    acts += [life.ended for life in lives if life.how == "crashed" and life.ended < end]
-    last_fault = max(acts, default=0)
+            life.relay == relay
+            and life.ready_at is not None
+            and life.ready_at + STARTUP_GRACE <= at <= life.ended_at
+            for life in lifetimes
+        ) and not any(since <= at <= until + STARTUP_GRACE for since, until in pauses[relay])
+
+    def is_gone(relay: int, since: int, at: int) -> bool:
+        """Tells whether no process of the relay ran at any time in that span."""
+        return not any(
+            life.relay == relay and life.started_at <= at and life.ended_at >= since for life in lifetimes
+        )
+
+    views: dict[int, list[MembershipView]] = defaultdict(list)
+    for view in sorted(records[MembershipView], key=lambda view: view.at):
+        views[view.relay].append(view)
+    faults = [event.at for event in plan.events if event.target in ("relay", "lane") and event.at < end]
+    faults += [life.ended_at for life in lifetimes if life.end_reason == "crashed" and life.ended_at < end]
+    last_fault = max(faults, default=0)
     last = {
-        relay: seen[-1]
-        for relay, seen in looks.items()
-        if seen[-1].at > end - SECOND and up(relay, seen[-1].at)
+        relay: history[-1]
+        for relay, history in views.items()
+        if history[-1].at > end - SECOND and is_up(relay, history[-1].at)
     }
-    # Who lives is the run's to say; a live one that shows no view holds nobody there.
-    living = [relay for relay in range(plan.relays) if up(relay, end - SECOND)]
+    # The processes decide which relays are live; a live relay without a view counts as one that lacks all
+    # others.
+    live = [relay for relay in range(plan.relays) if is_up(relay, end - SECOND)]
     dead_but_reachable = missed = None
     if end - last_fault >= QUIET:
         dead_but_reachable = sum(
             relay not in last or last[relay].view.get(other) in (None, "dead", "left")
-            for relay in living
-            for other in living
+            for relay in live
+            for other in live
             if relay != other
         )
         missed = sum(
-            state in ("alive", "suspect") and gone(other, end - QUIET, end)
-            for seen in last.values()
-            for other, state in seen.view.items()
+            state in ("alive", "suspect") and is_gone(other, end - QUIET, end)
+            for view in last.values()
+            for other, state in view.view.items()
         )
     return {
-        "views": len({tuple(sorted(_there(seen))) for seen in last.values()}),
+        "views": len({tuple(sorted(_present(view))) for view in last.values()}),
         "dead_but_reachable": dead_but_reachable,
         "missed_dead": missed,
-        "detect_s": _detection(lives, pauses, looks, up),
-        "agree_s": _agreement(looks, last_fault, up),
-        "bytes_per_s": _sent(kinds[PeerTraffic], lives),
+        "detect_s": _detection(lifetimes, pauses, views, is_up),
+        "agree_s": _agreement(views, last_fault, is_up),
+        "bytes_per_s": _bytes_per_second(records[PeerTraffic], lifetimes),
     }
 
 
-def _there(seen: MembershipView) -> list[int]:
-    return [relay for relay, state in seen.view.items() if state in ("alive", "self", "suspect")]
+def _present(view: MembershipView) -> list[int]:
+    return [relay for relay, state in view.view.items() if state in ("alive", "self", "suspect")]
 
 
 def _detection(
-    lives: list[RelayLifetime], pauses: Spans, looks: Mapping[int, list[MembershipView]], up: Any
+    lifetimes: list[RelayLifetime], pauses: Spans, views: Mapping[int, list[MembershipView]], is_up: Any
 ) -> dict[str, float | None]:
-    began = [(life.relay, life.ended) for life in lives if life.how == "killed"]
-    began += [(relay, since) for relay, spans in pauses.items() for since, _ in spans]
+    failures = [(life.relay, life.ended_at) for life in lifetimes if life.end_reason == "killed"]
+    failures += [(relay, since) for relay, spans in pauses.items() for since, _ in spans]
     spans = []
-    for relay, at in began:
-        # Until it is there again there is something to detect.
+    for relay, at in failures:
+        # The failure can be detected until the relay is back.
         back = min(
-            [life.began for life in lives if life.relay == relay and life.began > at]
+            [life.started_at for life in lifetimes if life.relay == relay and life.started_at > at]
             + [until for since, until in pauses[relay] if since == at],
             default=1 << 62,
         )
-        for other, seen in looks.items():
-            first = next((one.at for one in seen if one.at > at and one.view.get(relay) == "dead"), None)
-            if other != relay and first is not None and first < back and up(other, first):
+        for other, history in views.items():
+            first = next(
+                (view.at for view in history if view.at > at and view.view.get(relay) == "dead"), None
+            )
+            if other != relay and first is not None and first < back and is_up(other, first):
                 spans.append((first - at) / SECOND)
     return {"p50": _p50(spans), "max": max(spans, default=None)}
 
 
-def _agreement(looks: Mapping[int, list[MembershipView]], since: int, up: Any) -> float | None:
-    """None: never."""
+def _agreement(views: Mapping[int, list[MembershipView]], since: int, is_up: Any) -> float | None:
+    """Returns the time in s from `since` until no view lacks a live relay any more; None: never."""
     agreed = since
-    for row in looks.values():
-        right = since
-        for seen in row:
-            if seen.at <= since or not up(seen.relay, seen.at):
+    for history in views.values():
+        complete_since = since
+        for view in history:
+            if view.at <= since or not is_up(view.relay, view.at):
                 continue
-            # A relay that has only just begun is neither missed nor asked.
-            if {relay for relay in looks if up(relay, seen.at)} - set(_there(seen)):
-                right = None
-            elif right is None:
-                right = seen.at
-        if right is None:
+            # A relay that has only just started is neither expected in views, nor is its own view checked.
+            if {relay for relay in views if is_up(relay, view.at)} - set(_present(view)):
+                complete_since = None
+            elif complete_since is None:
+                complete_since = view.at
+        if complete_since is None:
             return None
-        agreed = max(agreed, right)
+        agreed = max(agreed, complete_since)
     return (agreed - since) / SECOND
 
 
-def _sent(carried: list[PeerTraffic], lives: list[RelayLifetime]) -> float | None:
-    ran = sum(life.ended - max(0, life.began) for life in lives) / SECOND
-    return round(sum(one.size for one in carried) / ran, 1) if ran and carried else None
+def _bytes_per_second(traffic: list[PeerTraffic], lifetimes: list[RelayLifetime]) -> float | None:
+    run_time = sum(life.ended_at - max(0, life.started_at) for life in lifetimes) / SECOND
+    return round(sum(one.bytes_sent for one in traffic) / run_time, 1) if run_time and traffic else None
--- a/cedarledge/standins/process_context.py
+++ b/cedarledge/standins/process_context.py
@@ -1,4 +1,4 @@
-"""What every stand-in of a process draws on."""
+"""What all emulators in one process share."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 
 
 class ProcessContext(NamedTuple):
-    """The reactor, the clock in ns after the run's start, and what is played."""
+    """The reactor, the clock in ns after the start of the run, the plan and the event log of one process."""
 
     reactor: Any
     timers: Timers
     now: Callable[[], int]
     plan: Plan
-    port: int  # that everything listens on, each at an address of its own
-    book: EventLog
-
-
-class Player:
-    """One that plays a part, with what it draws on at hand."""
-
-    def __init__(self, stage: ProcessContext) -> None:
-        self.stage = stage
-        self.reactor = stage.reactor
-        self.timers = stage.timers
-        self.now = stage.now
-        self.plan = stage.plan
-        self.port = stage.port
-        self.book = stage.book
+    port: int  # shared by all listeners, each at an address of its own
+    event_log: EventLog
+
+
+class Emulator:
+    """Base class of what is emulated in a process; gives access to the parts of the process context."""
+
+    def __init__(self, context: ProcessContext) -> None:
+        """Copies the parts of the context to attributes."""
+        self.context = context
+        self.reactor = context.reactor
+        self.timers = context.timers
+        self.now = context.now
+        self.plan = context.plan
+        self.port = context.port
+        self.event_log = context.event_log
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""What a simulated box can do, what comparisons say, and the command line's words and exit codes."""
+"""The model of an emulated box, comparisons of runs, and output and exit codes of the command line."""
 
 from __future__ import annotations
 
@@ -28,92 +28,96 @@
     return BoxModel(BOX, TERMS, 0, cold)
 
 
-def test_a_box_slows_down_as_it_fills_and_recovers_when_it_is_left() -> None:
+def test_a_box_slows_down_under_load_and_recovers_after_it() -> None:
     model = box()
-    idle = model.message(0)
-    model.opened(1.6)
-    assert model.message(SECOND) > 3 * idle
-    model.opened(1.0)
-    times = [model.message(second * SECOND) for second in range(2, 6)]
-    assert times == sorted(times), "what is asked beyond its strength piles up"
-    model.ended(1.0)
-    model.ended(1.6)
-    assert model.message(30 * SECOND) == idle
-
-
-def test_a_full_a_drained_and_a_buried_box_turn_new_connections_away() -> None:
+    idle = model.message_time(0)
+    model.connection_opened(1.6)
+    assert model.message_time(SECOND) > 3 * idle
+    model.connection_opened(1.0)
+    times = [model.message_time(second * SECOND) for second in range(2, 6)]
+    assert times == sorted(times), "load beyond the capacity adds to the backlog"
+    model.connection_closed(1.0)
+    model.connection_closed(1.6)
+    assert model.message_time(30 * SECOND) == idle
+
+
+def test_a_full_a_draining_and_an_overloaded_box_reject_new_connections() -> None:
     model = box()
     for _ in range(BOX.cap):
-        assert model.takes(0)
-        model.opened(0.1)
-    assert not model.takes(0)
+        assert model.accepts(0)
+        model.connection_opened(0.1)
+    assert not model.accepts(0)
     model = box()
     model.draining = True
-    assert not model.takes(0)
+    assert not model.accepts(0)
     model = box()
-    model.opened(8.0)
+    model.connection_opened(8.0)
     model.advance(0)
-    assert model.takes(0)
-    assert not model.takes(SECOND)
+    assert model.accepts(0)
+    assert not model.accepts(SECOND)
 
 
-def test_a_cold_box_warms_and_falls_only_under_long_pressure() -> None:
+def test_a_cold_box_warms_up_and_fails_only_under_long_overload() -> None:
     model = box(cold=True)
-    assert model.strength(0) == approx(TERMS.cold_from * 2)
-    assert model.strength(TERMS.warmup_duration // 2) == approx((1 + TERMS.cold_from) / 2 * 2)
-    assert model.strength(TERMS.warmup_duration) == 2
-    load = 1.05 * TERMS.overload_multiple * model.strength(2 * SECOND)
-    model.opened(load)
-    assert not model.is_pushed_over(0)
-    assert not model.is_pushed_over(TERMS.overload_duration - MS)
-    assert model.is_pushed_over(TERMS.overload_duration)
+    assert model.capacity(0) == approx(TERMS.cold_from * 2)
+    assert model.capacity(TERMS.warmup_duration // 2) == approx((1 + TERMS.cold_from) / 2 * 2)
+    assert model.capacity(TERMS.warmup_duration) == 2
+    load = 1.05 * TERMS.overload_multiple * model.capacity(2 * SECOND)
+    model.connection_opened(load)
+    assert not model.fails_from_overload(0)
+    assert not model.fails_from_overload(TERMS.overload_duration - MS)
+    assert model.fails_from_overload(TERMS.overload_duration)
     warm = box()
-    warm.opened(load)
-    assert not any(warm.is_pushed_over(second * SECOND) for second in range(9)), "a warm one does not fall"
-    eased = box(cold=True)
-    eased.opened(load)
-    eased.is_pushed_over(0)
-    eased.ended(load)
-    eased.is_pushed_over(SECOND)
-    eased.opened(load)
-    assert not eased.is_pushed_over(TERMS.overload_duration + MS), "pressure that lets up begins anew"
-
-
-def test_reports_are_refreshed_now_and_then_and_come_late() -> None:
+    warm.connection_opened(load)
+    assert not any(warm.fails_from_overload(second * SECOND) for second in range(9)), (
+        "a warm box does not fail"
+    )
+    interrupted = box(cold=True)
+    interrupted.connection_opened(load)
+    interrupted.fails_from_overload(0)
+    interrupted.connection_closed(load)
+    interrupted.fails_from_overload(SECOND)
+    interrupted.connection_opened(load)
+    assert not interrupted.fails_from_overload(TERMS.overload_duration + MS), (
+        "an interrupted overload is timed anew"
+    )
+
+
+def test_load_reports_are_updated_at_intervals_and_delayed() -> None:
     model = box()
-    assert model.report(0).asked == 0
-    model.opened(1.0)
-    assert model.report(TERMS.report_interval - MS).asked == 0, "not made anew yet"
-    assert model.report(TERMS.report_interval).asked == 0, "made, and on its way"
-    assert model.report(TERMS.report_interval + TERMS.report_delay).asked == 0.5
+    assert model.report(0).load_ratio == 0
+    model.connection_opened(1.0)
+    assert model.report(TERMS.report_interval - MS).load_ratio == 0, "not updated yet"
+    assert model.report(TERMS.report_interval).load_ratio == 0, "updated, and not sent yet"
+    assert model.report(TERMS.report_interval + TERMS.report_delay).load_ratio == 0.5
     model.frozen = True
-    model.opened(1.0)
-    assert model.report(60 * SECOND).asked == 0.5
+    model.connection_opened(1.0)
+    assert model.report(60 * SECOND).load_ratio == 0.5
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 900), st.sampled_from("osem"), st.floats(0.01, 2)), max_size=40))
-def test_whatever_is_done_to_a_box_its_figures_stay_within_bounds(
+def test_figures_of_a_box_stay_within_bounds(
     steps: list[tuple[int, str, float]],
 ) -> None:
-    model, now, held = box(cold=True), 0, []
+    model, now, loads = box(cold=True), 0, []
     for wait, what, size in steps:
         now += wait * MS
         if what == "o":
-            model.opened(size)
-            held.append(size)
-        elif what == "e" and held:
-            model.ended(held.pop())
+            model.connection_opened(size)
+            loads.append(size)
+        elif what == "e" and loads:
+            model.connection_closed(loads.pop())
         elif what == "s":
-            assert model.setup(now, taken=size > 1) >= TERMS.round_trip
-        assert 0 < model.message(now) <= MAX_BACKLOG + 1000 * MS
-        assert 0 <= model.piled <= MAX_BACKLOG
-        assert model.report(now).held >= 0
-    assert model.held == len(held)
-    assert model.load == approx(sum(held), abs=1e-9)
+            assert model.begin_setup(now, accepted=size > 1) >= TERMS.round_trip
+        assert 0 < model.message_time(now) <= MAX_BACKLOG + 1000 * MS
+        assert 0 <= model.backlog <= MAX_BACKLOG
+        assert model.report(now).connections >= 0
+    assert model.connections == len(loads)
+    assert model.load == approx(sum(loads), abs=1e-9)
 
 
-def told(credit: float) -> dict:
+def figures(credit: float) -> dict:
     return {
         "credit_served": credit,
         "well_served_all": credit,
@@ -124,27 +128,29 @@
     } | dict.fromkeys(RULES, 0)
 
 
-def test_a_verdict_needs_an_interval_that_leaves_out_zero() -> None:
+def test_a_comparison_needs_an_interval_without_zero() -> None:
     better = {
         line.figure: line
         for line in compare(
-            [told(0.5 + 0.01 * n) for n in range(8)], [told(0.6 + 0.011 * n) for n in range(8)]
+            [figures(0.5 + 0.01 * n) for n in range(8)], [figures(0.6 + 0.011 * n) for n in range(8)]
         )
     }
     assert better["credit served"].verdict == better["setups per tunnel"].verdict == "better"
     assert better["credit served"].low > 0
     assert better["relay cpu s"].verdict == "no difference seen"
     assert set(better) == {name for name, _, _ in COMPARED_METRICS}
-    mixed = compare([told(0.5), told(0.6), told(0.7)], [told(0.6), told(0.5), told(0.7)])
+    mixed = compare([figures(0.5), figures(0.6), figures(0.7)], [figures(0.6), figures(0.5), figures(0.7)])
     assert {line.verdict for line in mixed} == {"no difference seen"}
-    assert compare([told(0.5)], [told(0.9)])[0].verdict == "no difference seen", "one pair proves nothing"
+    assert compare([figures(0.5)], [figures(0.9)])[0].verdict == "no difference seen", (
+        "one pair is not enough"
+    )
     with raises(ValueError, match="make no pairs"):
-        compare([told(0.5)], [])
+        compare([figures(0.5)], [])
     low, high = bootstrap_interval([0.1, 0.2, 0.15, 0.12, 0.18])
     assert 0.1 < low < 0.15 < high < 0.2
 
 
-def test_a_report_holds_its_plots_and_says_what_broke(tmp_path: Path) -> None:
+def test_a_report_has_its_plots_and_the_rules_that_were_violated(tmp_path: Path) -> None:
     plan = build_plan(Scenario("Test", name="test"), 4)
     records = [ServedSecond(second, 0, 5.0, 4.0) for second in range(20)]
     records += [BoxLoad(second, 0, 0.5, 3) for second in range(20)]
@@ -163,7 +169,7 @@
 
 
 @mark.parametrize(
-    ("arguments", "code", "said"),
+    ("arguments", "code", "expected"),
     [
         (["--version"], 0, "cedarledge"),
         (["--help"], 0, "codes: 0 success; 1 a rule was broken"),
@@ -177,16 +183,16 @@
         (["relay"], 2, "BALANCER_CONFIG is not set"),
     ],
 )
-def test_the_command_line_says_what_is_wrong_and_exits_as_its_help_has_it(
-    arguments: list[str], code: int, said: str
+def test_the_command_line_reports_errors_with_the_documented_exit_codes(
+    arguments: list[str], code: int, expected: str
 ) -> None:
     done = command(*arguments)
     assert done.returncode == code, done.stderr
-    assert said in done.stdout + done.stderr
+    assert expected in done.stdout + done.stderr
     assert "Traceback" not in done.stderr
 
 
-def test_the_relay_without_arguments_imports_nothing_of_the_commands() -> None:
+def test_the_relay_without_arguments_does_not_import_the_commands() -> None:
     seen = subprocess.run(
         [
             sys.executable,
--- a/tests/test_terms_fleet_size.py
+++ b/tests/test_terms_fleet_size.py
@@ -1,4 +1,4 @@
-"""No cap below 1,024 on relays or backends: fleets of 1,100 of each, their memory and start time."""
+"""Fleets of 1,100 relays and 1,100 backends, beyond a limit of 1,024: memory and start time of a relay."""
 
 from __future__ import annotations
 
@@ -33,7 +33,8 @@
 
 
 def entries_of(backends: list[Backend]) -> list[dict]:
-    """1,100 names that a few processes stand for; the last has the last process for itself."""
+    """Returns 1,100 list entries that share a few processes; the last entry has the last process for
+    itself."""
     *shared, own = backends
     entries = [
         shared[number % len(shared)].entry() | {"id": f"backend-{number}", "cell": number % 50}
@@ -42,16 +43,16 @@
     return [*entries, own.entry() | {"id": f"backend-{BACKENDS - 1}"}]
 
 
-def test_a_relay_among_1100_before_1100_backends_starts_and_serves(tmp_path: Path) -> None:
-    """Seen to fail with the list cut to 1,000 entries in BackendRegistry.apply_list."""
+def test_a_relay_of_1100_with_1100_backends_starts_and_serves(tmp_path: Path) -> None:
+    """Fails if BackendRegistry.apply_list keeps only 1,000 entries of the list."""
     backends = [Backend(f"process {number}") for number in range(4)]
     entries = entries_of(backends)
-    told = {
+    options = {
         "settings": SETTINGS | {"group_size": RELAYS, "me": RELAYS - 1},
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
         "known": {"revision": 7, "complete": True, "members": entries},
     }
-    with RelayProgram(tmp_path, backends, **told) as relay:
+    with RelayProgram(tmp_path, backends, **options) as relay:
         assert f"{BACKENDS} backends known" in relay.log.read_text()
         assert processor_seconds(relay) < START_PROCESSOR_S
         clients = [relay.client() for _ in range(CLIENTS)]
@@ -59,21 +60,21 @@
         wait_until(lambda: relay.discovery.calls)
         relay.discovery.tell(*(entry | {"phase": "draining"} for entry in entries[:-1]))
         wait_until(lambda: len(relay.discovery.calls) >= 2)
-        placed = sum(len(backend.heads) for backend in backends[:-1])
+        attempts = sum(len(backend.heads) for backend in backends[:-1])
         for number in range(4):
             assert relay.client().open(f"late-{number}") in ("UP r", "BUSY"), "one cold backend is left"
-        assert sum(len(backend.heads) for backend in backends[:-1]) == placed, "1,099 are draining"
+        assert sum(len(backend.heads) for backend in backends[:-1]) == attempts, "1,099 are draining"
         assert peak_memory_mb(relay) < MEMORY_MB
         assert descriptors(relay) < SOCKETS
 
 
 def test_the_rig_has_an_address_for_each_of_1100_relays_at_each_of_1100_backends() -> None:
-    """It had addresses for 64 relays."""
+    """The rig used to have addresses for 64 relays only."""
     assert min(MAX_RELAYS, MAX_BOXES) >= RELAYS
     edges = [0, 1, 63, 64, 199, 200, 1023, 1024, RELAYS - 1, MAX_RELAYS - 1]
     of_pairs = (box_address, box_proxy_address)
     of_relays = (relay_address, peer_address, peer_proxy_address, discovery_address, discovery_proxy_address)
     addresses = [address(box, relay) for address in of_pairs for box in edges for relay in edges]
     addresses += [address(relay) for address in of_relays for relay in edges]
-    assert len(set(addresses)) == len(addresses), "each has its own"
+    assert len(set(addresses)) == len(addresses), "all addresses differ"
     assert all(IPv4Address(address).is_loopback for address in addresses)
