--- a/cedarledge/standins/plan.py
+++ b/cedarledge/standins/plan.py
@@ -13,7 +13,7 @@
 # The second byte of the loopback addresses that emulators and relays listen on. Every box has an address for
 # each relay, so that traffic can be attributed to a relay, and a relay can be partitioned from a box, without
 # trusting what the relay reports: the addresses of the first relay's boxes begin at 127.20.0.0, those of the
-# second relay follow. Relays and discovery have one address for each relay.
+# second relay follow. Each relay has one address, and discovery has one for each relay.
 DISCOVERY = -1  # stands for discovery where a box index is expected
 RELAY_NET, DISCOVERY_NET, PEER_NET, PEER_PROXY_NET, DISCOVERY_PROXY_NET = 8, 9, 10, 11, 13
 BOX_NET, BOX_PROXY_NET = 20, 100
--- a/cedarledge/standins/worker.py
+++ b/cedarledge/standins/worker.py
@@ -36,7 +36,7 @@
         self._due = 0
 
     def begin(self) -> None:
-        """Starts the measurement; called once, later calls are its own."""
+        """Starts the measurement, which then repeats itself."""
         self._due = self._now() + LATENESS_EVERY
         self._timers.after(LATENESS_EVERY, self._measure)
 
