--- a/cedarledge/model/__init__.py
+++ b/cedarledge/model/__init__.py
@@ -1,2 +1,1 @@
-"""Machines without I/O or clock, many at a time, in virtual time over a network that fails as it is told
-to."""
+"""Simulation of many state machines in virtual time over a simulated network with injected faults."""
--- a/cedarledge/model/command.py
+++ b/cedarledge/model/command.py
@@ -1,4 +1,4 @@
-"""`cedarledge model`: fleets in virtual time, over many seeds and all cores."""
+"""The command `cedarledge model`: simulations in virtual time, over many seeds and on all cores."""
 
 from __future__ import annotations
 
@@ -27,25 +27,31 @@
 
 @click.group()
 def model() -> None:
-    """Play machines of many relays against faults, in virtual time."""
+    """Simulate the state machines of many relays under faults, in virtual time."""
 
 
 def parse_seeds(text: str) -> list[int]:
-    """A span like 1-8. Raises click.BadParameter."""
+    """Returns the seeds of a range like 1-8 or of a single number.
+
+    Raises click.BadParameter if the text is neither, or the range is empty.
+    """
     low, dash, high = text.partition("-")
     try:
         seeds = list(range(int(low), int(high if dash else low) + 1))
     except ValueError:
         seeds = []
     if not seeds:
-        raise click.BadParameter(f"{text!r} is no span of seeds like 1-8")
+        raise click.BadParameter(f"{text!r} is not a range of seeds like 1-8")
     return seeds
 
 
 def parallel_map(
     function: Callable[[Any], Any], items: Iterable[Any], jobs: int, chunk: int = 1
 ) -> Iterator[Any]:
-    """In the order of `over`, so that what is said does not hang on the machine."""
+    """Applies a function to items in `jobs` processes and yields the results.
+
+    They come in the order of the items, so that the output does not depend on the load of the machine.
+    """
     if jobs == 1:
         yield from map(function, items)
         return
@@ -54,6 +60,7 @@
 
 
 def percentiles(values: list[float]) -> dict[str, float]:
+    """Returns median, 99th percentile and maximum by name, an empty dictionary without values."""
     if not values:
         return {}
     return {
@@ -78,20 +85,21 @@
 
 @model.command()
 @click.option("--members", type=click.IntRange(3, 1000), default=5, show_default=True)
-@click.option("--seeds", default="1-100", show_default=True, help="A span like 1-100.")
+@click.option("--seeds", default="1-100", show_default=True, help="A range like 1-100.")
 @click.option(
     "--faults",
     callback=_parse_kinds,
     default=",".join(membership_model.FAULT_KINDS),
-    help="Kinds to draw from.",
+    help="Kinds of faults to draw from.",
     show_default=True,
 )
 @_jobs_option
-@click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the figures there.")
+@click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the figures to this file.")
 def peers(members: int, seeds: str, faults: list[str], jobs: int, out: str | None) -> None:
-    """Fleets of peers, one a seed: what must hold at every step and at the end, and figures.
+    """Simulate membership, one fleet per seed, check its invariants, and print figures.
 
-    Where something does not hold: the seed, the shortest history that was found, and exit code 1.
+    If an invariant is violated, prints the seed and a shortened history of the failure, and exits with
+    code 1.
     """
     rows = []
     for row in parallel_map(
@@ -129,11 +137,14 @@
     type=click.IntRange(1, 12),
     default=5,
     show_default=True,
-    help="Datagrams of which every fate is played.",
+    help="Number of datagrams whose delivery is varied.",
 )
 @_jobs_option
 def explore(depth: int, jobs: int) -> None:
-    """Three members and every fate of the first datagrams after each of five faults."""
+    """Explore all losses, delays and duplicates of the first datagrams.
+
+    Simulates three members in each of five cases: without a fault and with four kinds of faults.
+    """
     for case in delivery_model.CASES:
         count = 0
         function = partial(delivery_model.explore, case)
@@ -147,17 +158,17 @@
 
 @model.command()
 @click.option("--voters", type=click.Choice(["3", "5", "7"]), default="3", show_default=True)
-@click.option("--seeds", default="1-100", show_default=True, help="A span like 1-100.")
+@click.option("--seeds", default="1-100", show_default=True, help="A range like 1-100.")
 @click.option(
     "--depth",
     type=click.IntRange(0, 12),
     default=0,
     show_default=True,
-    help="Play every order of so many moves of three voters too.",
+    help="Also explore all orders of this many events of three voters.",
 )
 @_jobs_option
 def votes(voters: str, seeds: str, depth: int, jobs: int) -> None:
-    """Voters that take one value for each number, under drawn troubles."""
+    """Simulate voters under random faults and check that they choose one value per slot."""
     agreement_times = []
     for row in parallel_map(partial(voter_model.run_seed, int(voters)), parse_seeds(seeds), jobs):
         if "broken" in row:
@@ -178,12 +189,14 @@
 
 @model.command()
 @click.option("--zones", type=click.IntRange(3, 16), default=3, show_default=True)
-@click.option("--relays", type=click.IntRange(1, 64), default=3, show_default=True, help="In each zone.")
+@click.option(
+    "--relays", type=click.IntRange(1, 64), default=3, show_default=True, help="Relays in each zone."
+)
 @click.option("--voters", type=click.Choice(["3", "5", "7"]), default="3", show_default=True)
-@click.option("--seeds", default="1-100", show_default=True, help="A span like 1-100.")
+@click.option("--seeds", default="1-100", show_default=True, help="A range like 1-100.")
 @_jobs_option
 def zones(zones: int, relays: int, voters: str, seeds: str, jobs: int) -> None:
-    """Zones that are lost, cut off, slow, or come and go, and the plans that voters make of it."""
+    """Simulate zones that fail, are partitioned, slow or unstable, and check the failover plans."""
     rows: list[dict[str, Any]] = []
     for row in parallel_map(
         partial(zone_model.run_seed, zones, relays, int(voters)), parse_seeds(seeds), jobs
@@ -206,7 +219,7 @@
 
 
 def _measure_size(seed: int, size: int) -> dict[str, Any]:
-    """A calm spell, a kill, and a fifth of all datagrams lost, in a fleet of that size."""
+    """Runs two fleets of a size: one with a killed member, one that loses a fifth of all datagrams."""
     kill = membership_model.Fault(
         "kill", membership_model.FIRST_FAULT_AT, membership_model.FIRST_FAULT_AT + SECOND, (size // 2,)
     )
@@ -226,13 +239,13 @@
 
 
 @model.command()
-@click.option("--seeds", default="1-5", show_default=True, help="A span like 1-5.")
+@click.option("--seeds", default="1-5", show_default=True, help="A range like 1-5.")
 @click.option("--most", type=click.IntRange(8, 1000), default=1000, show_default=True)
 @_jobs_option
-@click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the figures there.")
-@click.option("--plot", type=click.Path(dir_okay=False), help="Draw them into this file.")
+@click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the figures to this file.")
+@click.option("--plot", type=click.Path(dir_okay=False), help="Plot the figures into this file.")
 def sizes(seeds: str, most: int, jobs: int, out: str | None, plot: str | None) -> None:
-    """Detection time, false suspicions and bytes against the size of the fleet."""
+    """Measure detection time, false suspicions and bytes by size of the fleet."""
     rows = []
     for size in (limit for limit in FLEET_SIZES if limit <= most):
         found = list(parallel_map(partial(_measure_size, size=size), parse_seeds(seeds), jobs))
@@ -251,6 +264,7 @@
 
 
 def draw_plot(rows: list[dict[str, float]], path: str) -> None:
+    """Plots the figures of the command `sizes` into an image file, on a logarithmic axis of sizes."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/cedarledge/model/explore.py
+++ b/cedarledge/model/explore.py
@@ -1,4 +1,7 @@
-"""Every fate of the first datagrams after a fault, one after the other: a small fleet, a stated depth."""
+"""Exhaustive exploration of losses, delays and duplicates of the first datagrams after a fault.
+
+The fleet is small, and the number of datagrams whose delivery is varied is the depth.
+"""
 
 from __future__ import annotations
 
@@ -8,20 +11,26 @@
 from cedarledge.model.peers import Fault, Fleet, InvariantError
 from cedarledge.terms import MS, SECOND
 
-# What may become of a datagram: it comes; it is lost; it comes behind many later ones; it comes twice, the
-# second time late.
+# Delays of a datagram's copies: delivered; lost; delivered after many later ones; delivered twice, the second
+# time late.
 DELIVERY_OUTCOMES: tuple[tuple[int, ...], ...] = ((MS,), (), (700 * MS,), (MS, 700 * MS))
 FAULT_AT = 12 * SECOND
 CASES = ("calm", "kill", "restart", "stop", "doubled")
 
 
 def delivery_sequences(depth: int) -> Iterator[tuple[int, ...]]:
-    """All, as places in FATES; each datagram past the depth comes."""
+    """Returns all sequences of `depth` indices into DELIVERY_OUTCOMES.
+
+    Datagrams beyond the depth are delivered as the link decides.
+    """
     return product(range(len(DELIVERY_OUTCOMES)), repeat=depth)
 
 
 def explore(case: str, outcomes: tuple[int, ...], members: int = 3, seed: int = 1) -> str:
-    """Plays one history; what was broken, or nothing."""
+    """Runs one fault with one sequence of outcomes.
+
+    Returns the invariant that was violated, as text, or an empty string.
+    """
     end = FAULT_AT + (8 * SECOND if case == "stop" else SECOND)
     faults = [] if case == "calm" else [Fault(case, FAULT_AT, end, (1,))]
     fleet = Fleet(members, seed, faults)
--- a/cedarledge/model/peers.py
+++ b/cedarledge/model/peers.py
@@ -1,5 +1,8 @@
-"""Fleets of peers in virtual time: troubles drawn by seed, what must hold at every step and at the end,
-figures."""
+"""Simulation of fleets with membership: random faults, invariants, and figures.
+
+Faults are drawn from the seed. Some invariants are checked after each event, the agreement of all views at
+the end.
+"""
 
 from __future__ import annotations
 
@@ -26,22 +29,22 @@
     "doubled",
     "churn",
 )
+# All members start within the first second; the first fault begins after the fleet has joined.
 START_WITHIN, FIRST_FAULT_AT = SECOND, 15 * SECOND
-# Once the faults are over all views agree within this, and a little for each member.
+# All views must agree within this time after the last fault, plus some time for each member.
 AGREEMENT_TIMEOUT, AGREEMENT_TIMEOUT_PER_MEMBER = 45 * SECOND, 150 * MS
-# Past this many members what holds at every step is looked at in every so many steps: it costs members each
-# time.
+# In larger fleets the invariants are checked only after every 200th event, because a check reads all members.
 MAX_MEMBERS_CHECKED_EACH_STEP, CHECK_EVERY_STEPS = 32, 200
-# From here on members know each other from the start.
+# From this size on, fleets start with all members known to each other.
 MIN_MEMBERS_PREJOINED = 128
 
 
 class InvariantError(Exception):
-    """Something that must hold does not."""
+    """An invariant of the simulated system is violated."""
 
 
 class Fault(NamedTuple):
-    """One fault: what, from when to when in ns, and whom it is about, as places in the fleet."""
+    """A fault of one kind from `start` to `end`, ns. `members` are indices into the fleet's nodes."""
 
     kind: str
     start: int
@@ -49,25 +52,30 @@
     members: tuple[int, ...]
 
     def __str__(self) -> str:
+        """Returns one line for the history of a failure."""
         span = f"from {self.start / SECOND:.1f} s to {self.end / SECOND:.1f} s"
-        return f"{self.kind} {span} about {list(self.members)}"
+        return f"{self.kind} {span}, members {list(self.members)}"
 
 
 class MemberNode(Node):
-    """A seat whose machine is a Membership, and what was seen of it."""
+    """A node that runs a Membership, and the last states of its members that were checked."""
 
     def __init__(self, simulation: Simulation, fleet: Fleet, index: int, address: str, name: str) -> None:
+        """Creates a node without a process; another node may have the same member `name`."""
         super().__init__(simulation, address)
         self.fleet = fleet
         self.index = index
         self.name = name
+        # By member name: the object, its incarnation, instance and state at the last check.
         self.observed: dict[str, tuple[Member, int, int, int]] = {}
 
     @property
     def membership(self) -> Membership | None:
+        """The state machine, None while no process runs."""
         return self.machine  # type: ignore[return-value]
 
     def start_process(self, incarnation: int = 0) -> None:
+        """Starts a process with a new instance id and a random clock offset below 10 s."""
         simulation = self.simulation
         self.observed = {}
         self.clock_offset = simulation.rng.randrange(10 * SECOND)
@@ -88,14 +96,16 @@
         )
 
     def changed(self, name: str, before: State | None, after: State | None, why: str) -> None:
+        """Called by the membership when its state of a member changes."""
         self.fleet.record_change(self, name, before, after, why)
 
     def name_conflict(self, address: str) -> None:
-        self.fleet.log_event(f"{self.name} at {self.address} keeps silent for {address}")
+        """Called by the membership when it goes silent because a relay at `address` has its name."""
+        self.fleet.log_event(f"{self.name} at {self.address} goes silent: {address} has the same name")
 
 
 class Fleet:
-    """One world of peers, with its troubles."""
+    """A simulated fleet of members with its faults."""
 
     def __init__(
         self,
@@ -107,7 +117,11 @@
         history: bool = False,
         prejoined: bool = False,
     ) -> None:
-        """`settled`: all know each other from the start, which takes long to play in a large fleet."""
+        """Creates the nodes and schedules their start and the faults.
+
+        With `prejoined`, all members know each other from the start, because the simulation of joining takes
+        long in a large fleet. With `history`, events are recorded as text.
+        """
         self.size = size
         self.seed = seed
         self.simulation = Simulation(seed, link)
@@ -115,10 +129,11 @@
         self.history: list[str] | None = [] if history else None
         self.incarnation = incarnation
         self.nodes: list[MemberNode] = []
-        self.killed: dict[str, int] = {}  # names of those that are down, and since when
+        self.killed: dict[str, int] = {}  # times at which members that are down were killed, by name
         self.first_detected_at: dict[str, int] = {}
-        self.detection_times: list[int] = []  # first time that anybody held a killed one dead, after the kill
-        self.full_detection_times: list[int] = []  # until the last live one did
+        # Times from a kill until the first live member considers the killed one dead, and until all do.
+        self.detection_times: list[int] = []
+        self.full_detection_times: list[int] = []
         self.false_suspicions = self.false_deaths = 0
         self.fault_active = False
         self.agreement_time: int | None = None
@@ -139,16 +154,18 @@
             self.simulation.call_at(fault.start, getattr(self, "_" + fault.kind), fault)
 
     def _join_all(self) -> None:
+        """Starts all members and makes them known to each other."""
         for node in self.nodes:
             node.start_process(self.incarnation)
         rows = [node.membership.own_update() for node in self.nodes]
         for node in self.nodes:
-            for news in rows:
-                if news.name != node.name:
-                    node.membership._apply_update(news)
+            for update in rows:
+                if update.name != node.name:
+                    node.membership._apply_update(update)
             node.membership._broadcasts.clear()
 
     def address_of(self, index: int) -> str:
+        """Returns the address of the node with this index."""
         return f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}:7000"
 
     def _add(self, index: int, name: str) -> MemberNode:
@@ -158,24 +175,29 @@
         return node
 
     def seed_addresses(self) -> tuple[str, ...]:
-        """What the operators' file names: the first three, and one that lives where all those have ended."""
+        """Returns the seed addresses of a starting process, as the operators' file would list them.
+
+        They are the first three nodes and, so that one of them runs, the last live one.
+        """
         first = tuple(node.address for node in self.nodes[:3])
         return first + tuple(node.address for node in self.live_nodes()[-1:] if node.address not in first)
 
     def log_event(self, text: str) -> None:
+        """Appends a line to the history, if one is recorded."""
         if self.history is not None:
             self.history.append(f"{self.simulation.now / SECOND:9.3f} {text}")
 
     def log_received(self, node: MemberNode, data: bytes) -> None:
+        """Appends a datagram that a node receives to the history."""
         message = decode(data)
-        told = ", ".join(
-            f"{news.name}:{news.state.name.lower()}@{news.incarnation}" for news in message.updates
+        updates = ", ".join(
+            f"{update.name}:{update.state.name.lower()}@{update.incarnation}" for update in message.updates
         )
         self.log_event(
-            f"{node.name} reads {message.kind.name} of {message.name}@{message.incarnation} [{told}]"
+            f"{node.name} receives {message.kind.name} of {message.name}@{message.incarnation} [{updates}]"
         )
 
-    # -- troubles ----------------------------------------------------------------------------------
+    # -- faults ------------------------------------------------------------------------------------
 
     def _kill(self, fault: Fault) -> None:
         for index in fault.members:
@@ -187,14 +209,14 @@
 
     def _start(self, index: int) -> None:
         node = self.nodes[index]
-        # It may have come back elsewhere by now; two of one name are a trouble of their own.
+        # The member may run at another address by now. Two members of one name are a fault kind of their own.
         if not self._is_running(node.name):
             self.log_event(f"{node.name} starts")
             self.killed.pop(node.name, None)
             node.start_process(self.incarnation)
 
     def _restart(self, fault: Fault) -> None:
-        """Faster than it could be suspected, a few times."""
+        """Restarts members 3 times, each time faster than the others can suspect them."""
         for turn in range(3):
             self.simulation.call_later(turn * (fault.end - fault.start) // 3, self._kill, fault)
             for index in fault.members:
@@ -250,13 +272,13 @@
         )
 
     def _all_anew(self, fault: Fault) -> None:
-        everybody = fault._replace(members=tuple(range(self.size)))
-        self._kill(everybody)
-        for index in everybody.members:
+        all_members = fault._replace(members=tuple(range(self.size)))
+        self._kill(all_members)
+        for index in all_members.members:
             self.simulation.call_later(self.rng.randrange(SECOND), self._start, index)
 
     def _moved(self, fault: Fault) -> None:
-        """The name comes back at another address."""
+        """Kills members and starts them again at other addresses."""
         self._kill(fault)
         for index in fault.members:
             self.simulation.call_later(
@@ -277,6 +299,7 @@
         return node
 
     def _doubled(self, fault: Fault) -> None:
+        """Runs second members of the same names until the fault ends."""
         for index in fault.members:
             if self.nodes[index].machine is not None:
                 self.simulation.call_at(
@@ -289,10 +312,10 @@
             self.killed[node.name] = self.simulation.now
 
     def _churn(self, fault: Fault) -> None:
-        """A twentieth of the fleet a minute ends and is replaced by others."""
-        every = 60 * SECOND * 20 // self.size
-        for turn in range(max(1, (fault.end - fault.start) // every)):
-            self.simulation.call_later(turn * every, self._replace_one)
+        """Replaces a twentieth of the fleet per minute by members of new names."""
+        interval = 60 * SECOND * 20 // self.size
+        for turn in range(max(1, (fault.end - fault.start) // interval)):
+            self.simulation.call_later(turn * interval, self._replace_one)
 
     def _replace_one(self) -> None:
         live_nodes = [node for node in self.nodes if node.machine is not None]
@@ -300,16 +323,21 @@
             self._kill(Fault("kill", 0, 0, (self.rng.choice(live_nodes).index,)))
             self._start_new_node(f"relay-{len(self.nodes)}")
 
-    # -- what is seen ------------------------------------------------------------------------------
+    # -- observation and checks --------------------------------------------------------------------
 
     def live_nodes(self) -> list[MemberNode]:
+        """Returns the nodes that have a process, also if it is paused."""
         return [node for node in self.nodes if node.machine is not None]
 
     def record_change(
         self, node: MemberNode, name: str, before: State | None, after: State | None, why: str
     ) -> None:
+        """Counts detections, false suspicions and false deaths when a node's state of a member changes.
+
+        A state of None means that the member is unknown. `why` tells the cause as the membership words it.
+        """
         self.log_event(
-            f"{node.name} holds {name} {after.name.lower() if after is not None else 'forgotten'} ({why})"
+            f"{node.name} considers {name} {after.name.lower() if after is not None else 'forgotten'} ({why})"
         )
         if after is State.DEAD and name in self.killed:
             if name not in self.first_detected_at:
@@ -317,11 +345,12 @@
                 self.detection_times.append(self.simulation.now - self.killed[name])
             self.simulation.call_later(0, self._record_full_detection, name)
         elif name not in self.killed:
-            # Once for each accuser, not for everybody who hears of it.
+            # A suspicion counts once for each accuser, not for each member that is told of it.
             self.false_suspicions += after is State.SUSPECT and why == f"by {node.name}"
             self.false_deaths += after is State.DEAD
 
     def _record_full_detection(self, name: str) -> None:
+        """Records the time at which the last live member considers a killed one dead, once per kill."""
         since = self.killed.get(name)
         for node in self.live_nodes():
             member = node.membership.members.get(name)
@@ -332,17 +361,17 @@
             self.full_detection_times.append(self.simulation.now - since)
 
     def check_invariants(self, node: MemberNode) -> None:
-        """What holds at every step. Raises BrokenError."""
+        """Checks what must hold after each event of a node. Raises InvariantError."""
         self._check_count += 1
         if node.largest_datagram > MAX_DATAGRAM_BYTES:
-            raise InvariantError(f"{node.name} sent {node.largest_datagram} bytes")
+            raise InvariantError(f"{node.name} sent a datagram of {node.largest_datagram} bytes")
         if self.size > MAX_MEMBERS_CHECKED_EACH_STEP and self._check_count % CHECK_EVERY_STEPS:
             return
         membership = node.membership
         if membership is None:
             return
         if node.name in membership.members:
-            raise InvariantError(f"{node.name} is a member of its own view")
+            raise InvariantError(f"{node.name} has itself as a member in its view")
         for name, member in membership.members.items():
             now = (member, member.incarnation, member.instance_id, int(member.state))
             observed = node.observed.get(name)
@@ -350,54 +379,62 @@
             if observed is None or observed[0] is not member or observed[1:] == now[1:]:
                 continue
             if is_newer(observed[1], now[1]) or (observed[1] == now[1] and observed[2:] > now[2:]):
-                raise InvariantError(f"{node.name}: {name} went back from {observed[1:]} to {now[1:]}")
+                raise InvariantError(
+                    f"{node.name}: the state of {name} went back from {observed[1:]} to {now[1:]}"
+                )
 
     def view_disagreement(self) -> str:
-        """What keeps the live ones' views from being one and true; empty where nothing does."""
+        """Describes how the views of the live members differ from each other or from the truth.
+
+        Returns an empty string if all views agree and are right.
+        """
         live_nodes = self.live_nodes()
         names = {node.name for node in live_nodes}
         for node in live_nodes:
             membership = node.membership
             if membership.silent:
                 return f"{node.name} is silent"
-            there = {member.name for member in membership.members.values() if member.state is State.ALIVE}
-            if there != names - {node.name}:
+            alive = {member.name for member in membership.members.values() if member.state is State.ALIVE}
+            if alive != names - {node.name}:
                 return (
-                    f"{node.name} at {node.address} misses {sorted(names - there - {node.name})[:5]}, "
-                    f"holds {sorted(there - names)[:5]} alive that are not there"
+                    f"{node.name} at {node.address} misses {sorted(names - alive - {node.name})[:5]}, "
+                    f"considers {sorted(alive - names)[:5]} alive, which do not run"
                 )
         if len({node.membership.digest() for node in live_nodes}) > 1:
-            return "live relays' views differ"
+            return "the views of live relays differ"
         return ""
 
     def run(self) -> Fleet:
-        """Plays all, then waits for agreement. Raises BrokenError."""
-        over = max((fault.end for fault in self.faults), default=FIRST_FAULT_AT)
-        self.simulation.run(over)
-        within = AGREEMENT_TIMEOUT + AGREEMENT_TIMEOUT_PER_MEMBER * self.size
+        """Runs all faults, then waits until all views agree, and checks that they stay right for 10 s.
+
+        Raises InvariantError if an invariant is violated or the views do not agree in time.
+        """
+        faults_end = max((fault.end for fault in self.faults), default=FIRST_FAULT_AT)
+        self.simulation.run(faults_end)
+        timeout = AGREEMENT_TIMEOUT + AGREEMENT_TIMEOUT_PER_MEMBER * self.size
         if any(fault.kind == "doubled" for fault in self.faults):
-            within += 2 * SILENCE_DURATION
+            timeout += 2 * SILENCE_DURATION
         while self.view_disagreement():
-            if self.simulation.now >= over + within:
+            if self.simulation.now >= faults_end + timeout:
                 raise InvariantError(
-                    f"{within / SECOND:.0f} s after the last fault: {self.view_disagreement()}"
+                    f"{timeout / SECOND:.0f} s after the last fault: {self.view_disagreement()}"
                 )
             self.simulation.run(self.simulation.now + 250 * MS)
-        self.agreement_time = self.simulation.now - over
-        # A view that is right must stay so.
+        self.agreement_time = self.simulation.now - faults_end
+        # Once the views are right, no live member may be declared dead.
         deaths = self.false_deaths
         self.simulation.run(self.simulation.now + 10 * SECOND)
         if self.false_deaths > deaths:
-            raise InvariantError("after agreement a live one was held dead")
+            raise InvariantError("a live member was declared dead after all views had agreed")
         return self
 
     def bytes_per_second(self) -> float:
-        """Sent by one relay, the mean over the run."""
+        """Returns the bytes that one node sends per second, the mean over all nodes and the whole run."""
         return sum(node.sent_bytes for node in self.nodes) / len(self.nodes) / (self.simulation.now / SECOND)
 
 
 def draw_faults(size: int, seed: int, kinds: Sequence[str] = FAULT_KINDS) -> tuple[Fault, ...]:
-    """One to three troubles for a fleet, by seed alone."""
+    """Draws one to three faults for a fleet of `size` members; they depend on the arguments alone."""
     rng = random.Random(seed * 1009 + 3)
     faults = []
     start = FIRST_FAULT_AT
@@ -406,16 +443,22 @@
         length = rng.randrange(1 * SECOND, 25 * SECOND)
         if kind == "stop":
             length = rng.choice((2, 10, 30)) * SECOND
-        many = {"halves": size // 2, "one_way": max(1, size // 3), "kill": max(1, size // 5)}.get(kind, 1)
-        members = tuple(sorted(rng.sample(range(size), min(size - 1, many))))
+        member_count = {"halves": size // 2, "one_way": max(1, size // 3), "kill": max(1, size // 5)}.get(
+            kind, 1
+        )
+        members = tuple(sorted(rng.sample(range(size), min(size - 1, member_count))))
         faults.append(Fault(kind, start, start + length, members))
-        # The next may come in the middle of this one, or long after.
+        # The next fault begins with this one, in the middle of it, or 20 s after its end.
         start += rng.choice((0, length // 2, length + 20 * SECOND))
     return tuple(faults)
 
 
 def run_seed(size: int, seed: int, kinds: Sequence[str] = FAULT_KINDS) -> dict[str, Any]:
-    """One seed: its figures, or under `broken` what did not hold, and the shortest history that was found."""
+    """Simulates the fleet of one seed and returns its figures.
+
+    After a failure the result has, besides the seed, the violated invariant under `broken` and a shortened
+    history.
+    """
     faults = draw_faults(size, seed, kinds)
     try:
         fleet = Fleet(size, seed, faults, prejoined=size >= MIN_MEMBERS_PREJOINED).run()
@@ -435,10 +478,13 @@
 
 
 def shrink_failure(size: int, seed: int, faults: tuple[Fault, ...]) -> list[str]:
-    """The troubles cut down for as long as the run stays broken, and the end of what happened then."""
+    """Reduces the faults of a failing run as far as it still fails.
+
+    Faults are left out or halved in length. Returns the remaining faults and the last 60 history lines.
+    """
 
-    def broken(kept: tuple[Fault, ...], count: int) -> Fleet | None:
-        fleet = Fleet(count, seed, kept, history=True, prejoined=count >= MIN_MEMBERS_PREJOINED)
+    def failing_run(candidate: tuple[Fault, ...], count: int) -> Fleet | None:
+        fleet = Fleet(count, seed, candidate, history=True, prejoined=count >= MIN_MEMBERS_PREJOINED)
         try:
             fleet.run()
         except InvariantError as why:
@@ -446,17 +492,17 @@
             return fleet
         return None
 
-    best = broken(faults, size)
-    again = True
-    while again:
-        again = False
-        fewer = [faults[:node] + faults[node + 1 :] for node in range(len(faults))]
+    best = failing_run(faults, size)
+    reduced = True
+    while reduced:
+        reduced = False
+        fewer = [faults[:index] + faults[index + 1 :] for index in range(len(faults))]
         shorter = [tuple(row._replace(end=row.start + (row.end - row.start) // 2) for row in faults)]
-        for kept in fewer + shorter:
-            if min((row.end - row.start for row in kept), default=SECOND) < 100 * MS:
+        for candidate in fewer + shorter:
+            if min((row.end - row.start for row in candidate), default=SECOND) < 100 * MS:
                 continue
-            found = broken(kept, size)
+            found = failing_run(candidate, size)
             if found is not None:
-                best, faults, again = found, kept, True
+                best, faults, reduced = found, candidate, True
                 break
     return [*map(str, faults), *(best.history[-60:] if best is not None else ())]
