--- a/cedarledge/rig/demo.py
+++ b/cedarledge/rig/demo.py
@@ -70,7 +70,7 @@
     """Returns a readable summary of a run's verdict."""
     answers = verdict.answers
     lines = [
-        f"{verdict.connections} connections through {verdict.relays} relays to {verdict.boxes} simulated "
+        f"{verdict.connections} connections through {verdict.relays} relays to {verdict.boxes} emulated "
         f"backends in {verdict.seconds:g} s:",
         f"  {answers['opened']} opened, {answers['declined']} declined, "
         f"{answers['closed_with_error']} closed with error, {sum(verdict.no_answer.values())} without an "
--- a/cedarledge/rig/report.py
+++ b/cedarledge/rig/report.py
@@ -39,7 +39,7 @@
 <p>{verdict}</p>
 {tables}
 {plots}
-<p>All figures come from simulated servers.</p>
+<p>All figures come from emulated servers.</p>
 </body></html>
 """
 
--- a/cedarledge/rig/variants.py
+++ b/cedarledge/rig/variants.py
@@ -28,7 +28,8 @@
 ) -> Variant:
     """Returns the variant for a policy, an operator file, a checkout, or the last two together.
 
-    Raises BadFileError if the checkout is none, or if a baseline is combined with a file or checkout.
+    Raises BadFileError if `checkout` is not a checkout of cedarledge, or if a baseline is combined with an
+    operator file or a checkout.
     """
     if policy != "cedarledge":
         if operator_file is not None or checkout is not None:
