--- a/cedarledge/rig/run.py
+++ b/cedarledge/rig/run.py
@@ -49,8 +49,8 @@
 # Below the ephemeral ports that Linux assigns by default.
 PORT_RANGE = (10_000, 28_000)
 # Time between the start of the processes and the start of the run. It grows with the number of ports that a
-# process of boxes listens on, with the number of worker processes (200 ms each), and with the number of relays,
-# since relays share the cores.
+# process of boxes listens on, with the number of worker processes (200 ms each), and with the number of
+# relays, since relays share the cores.
 STARTUP_TIME, STARTUP_PER_PORT, STARTUP_PER_RELAY = 2500 * MS, MS, 150 * MS
 # After the clients have ended, the processes of the boxes log what they still receive for this long.
 SETTLE_TIME = 1500 * MS
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -143,7 +143,7 @@
 
 
 def test_relays_agree_on_membership_after_faults_and_break_no_rule(tmp_path: Path) -> None:
-    """At the end all relays have the same view, which shows no running relay as dead and no stopped one as alive."""
+    """At the end all relays have the same view: running relays are alive in it, stopped ones are not."""
 
     def run(scenario: str) -> dict:
         out = tmp_path / f"{scenario}.json"
