--- a/cedarledge/scale/__init__.py
+++ b/cedarledge/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity planning: measurement runs, the slopes that they give, and the tables of docs/CAPACITY.md."""
+"""Capacity planning: measurement runs, the curves fitted to them, and the tables of docs/CAPACITY.md."""
--- a/cedarledge/scale/command.py
+++ b/cedarledge/scale/command.py
@@ -1,4 +1,4 @@
-"""`cedarledge scale`: measurement runs, their slopes, and the check of docs/CAPACITY.md against them."""
+"""`cedarledge scale`: runs measurements, stores their slopes and checks docs/CAPACITY.md against them."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
     from cedarledge.scale.runner import Runner
     from cedarledge.scale.slopes import MeasurementRun
 
-DISAGREES, UNUSABLE = 1, 2
-MOST_JOBS = 16
+EXIT_PAGE_DIFFERS, EXIT_INVALID_INPUT = 1, 2
+MAX_JOBS = 16
 DOCS = Path("docs")
 SLOPES, PAGE = DOCS / "scale" / "slopes", DOCS / "CAPACITY.md"
 
 _seed = click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 _jobs = click.option(
     "--jobs",
-    type=click.IntRange(1, MOST_JOBS),
+    type=click.IntRange(1, MAX_JOBS),
     default=2,
     show_default=True,
-    help="Runs in virtual time side by side.",
+    help="Number of virtual-time runs that execute in parallel.",
 )
-_only = click.option("--only", multiple=True, help="Just this part; may be given again.")
+_only = click.option("--only", multiple=True, help="Run only this part of the scenario; may be repeated.")
 
 
 @click.group()
 def scale() -> None:
-    """Measure what control and connections cost as the fleet grows, and plan by it."""
+    """Measure the cost of control traffic and connections by fleet size, for capacity planning."""
 
 
 def _progress(text: str) -> None:
@@ -45,15 +45,17 @@
 
     for part in only:
         if part not in PARTS:
-            raise click.BadParameter(f"{part!r}; known are {', '.join(PARTS)}", param_hint="--only")
+            raise click.BadParameter(
+                f"{part!r} is not a part of a scenario; parts: {', '.join(PARTS)}", param_hint="--only"
+            )
     try:
-        told = load_scale_scenario(scenario)
+        loaded = load_scale_scenario(scenario)
     except BadFileError as error:
         for problem in error.problems:
             click.echo(f"cedarledge: {problem}", err=True)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_INVALID_INPUT)
     command = "cedarledge " + shlex.join(sys.argv[1:])
-    return Runner(told, command, seed, jobs, _progress)
+    return Runner(loaded, command, seed, jobs, _progress)
 
 
 def _summary(run: MeasurementRun) -> None:
@@ -68,12 +70,14 @@
 @_seed
 @_jobs
 @_only
-@click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the records there.")
-@click.option("--plot", type=click.Path(file_okay=False), help="Draw each run into this folder.")
+@click.option(
+    "--json", "out", type=click.Path(dir_okay=False), help="Write the records of the runs to this file."
+)
+@click.option("--plot", type=click.Path(file_okay=False), help="Write a plot of each run to this folder.")
 def run_scenario(
     file: str, seed: int, jobs: int, only: tuple[str, ...], out: str | None, plot: str | None
 ) -> None:
-    """Play a scenario FILE (TOML), or one that comes with the program by its name."""
+    """Run a scenario: a FILE (TOML), or the name of one that is shipped with the program."""
     import msgspec
 
     from cedarledge.scale.plots import draw
@@ -95,7 +99,7 @@
 @_only
 @click.option("--folder", type=click.Path(file_okay=False), default=str(SLOPES), show_default=True)
 def slopes(file: str, seed: int, jobs: int, only: tuple[str, ...], folder: str) -> None:
-    """Play the runs behind docs/CAPACITY.md and write their records and plots."""
+    """Repeat the runs that docs/CAPACITY.md is computed from, and write their records and plots."""
     from cedarledge.scale.plots import draw
     from cedarledge.scale.slopes import write_run
 
@@ -108,11 +112,11 @@
 @scale.command()
 @click.option("--folder", type=click.Path(file_okay=False), default=str(SLOPES), show_default=True)
 @click.option("--page", type=click.Path(dir_okay=False), default=str(PAGE), show_default=True)
-@click.option("--write", is_flag=True, help="Bring the page's tables up to date.")
+@click.option("--write", is_flag=True, help="Update the tables of the page first.")
 def check(folder: str, page: str, write: bool) -> None:
     """Recompute the tables of the capacity page from the committed slopes.
 
-    Exit code 1 where page and slopes disagree, with a line for each row.
+    Prints a line for each row that differs and exits with code 1 if there is any.
     """
     from cedarledge.scale.capacity import tables
     from cedarledge.scale.page import differences, rewritten
@@ -124,14 +128,14 @@
         text = path.read_text(encoding="utf-8")
     except (SlopesError, OSError) as error:
         click.echo(f"cedarledge: {error}", err=True)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_INVALID_INPUT)
     if write:
         text = rewritten(text, computed)
         path.write_text(text, encoding="utf-8")
-    found = differences(text, computed)
-    for difference in found:
+    mismatches = differences(text, computed)
+    for difference in mismatches:
         click.echo(difference)
-    if found:
-        sys.exit(DISAGREES)
+    if mismatches:
+        sys.exit(EXIT_PAGE_DIFFERS)
     rows = sum(len(table.rows) for table in computed)
     click.echo(f"{page}: {rows} rows in {len(computed)} tables agree with {folder}")
--- a/cedarledge/scale/comparison.py
+++ b/cedarledge/scale/comparison.py
@@ -1,4 +1,4 @@
-"""Relay processes with membership on and without clients, measured as hollow relays are."""
+"""Measures real relay processes, with membership and without clients, in the same way as hollow relays."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class RelaySample(msgspec.Struct, frozen=True):
-    """One relay process without clients, the mean over a fleet."""
+    """Means per relay process over a fleet, without clients."""
 
     bytes_per_second: float
     messages_per_second: float
@@ -38,7 +38,7 @@
 
 
 def measure(size: int, backends: int, settle_seconds: float, calm_seconds: float) -> RelaySample:
-    """A fleet of relay processes, once."""
+    """Runs one fleet of relay processes on loopback. Raises RelayError if a relay does not start."""
     with TemporaryDirectory() as folder:
         return asyncio.run(_measure(Path(folder), size, backends, settle_seconds, calm_seconds))
 
@@ -53,22 +53,24 @@
     relays = _start_all(folder, size, discovery, backends)
     try:
         for relay in relays:
-            await relay.until_ready()
+            await relay.wait_until_ready()
         await asyncio.sleep(settle_seconds)
-        before = [_traffic(folder, relay) for relay in relays]
+        before = [_read_traffic(folder, relay) for relay in relays]
         processor = sum(processor_ns(relay.pid) for relay in relays)
-        probes, calls = backends.probes, discovery.calls
+        probes, requests = backends.probes, discovery.requests
         await asyncio.sleep(calm_seconds)
-        after = [_traffic(folder, relay) for relay in relays]
+        after = [_read_traffic(folder, relay) for relay in relays]
         processor = sum(processor_ns(relay.pid) for relay in relays) - processor
         relay_seconds = size * calm_seconds
         return RelaySample(
-            (sum(row.sent_bytes for row in after) - sum(row.sent_bytes for row in before)) / relay_seconds,
-            (sum(row.sent for row in after) - sum(row.sent for row in before)) / relay_seconds,
+            (sum(traffic.sent_bytes for traffic in after) - sum(traffic.sent_bytes for traffic in before))
+            / relay_seconds,
+            (sum(traffic.sent for traffic in after) - sum(traffic.sent for traffic in before))
+            / relay_seconds,
             processor / MS / relay_seconds,
             sum(resident_bytes(relay.pid) for relay in relays) / size,
             (backends.probes - probes) / relay_seconds,
-            (discovery.calls - calls) / relay_seconds,
+            (discovery.requests - requests) / relay_seconds,
         )
     finally:
         for relay in relays:
@@ -78,21 +80,21 @@
 def _start_all(folder: Path, size: int, discovery: Discovery, backends: Backends) -> list[RelayProcess]:
     addresses = free_addresses(size)
     relays = []
-    for place, address in enumerate(addresses):
-        relay = RelayProcess(folder, f"relay-{place}", free_tcp_address(), discovery, backends)
+    for index, address in enumerate(addresses):
+        relay = RelayProcess(folder, f"relay-{index}", free_tcp_address(), discovery, backends)
         relay.config["limits"] = {"cores": 1.0, "memory_mb": 256, "sockets": 512}
         operator_file = folder / f"{relay.name}.toml"
         seeds = msgspec.json.encode(addresses[:3]).decode()
         operator_file.write_text(OPERATOR_FILE.format(listen=address, seeds=seeds))
         arguments = ("-m", "cedarledge.scale.counted_relay", str(operator_file))
-        relay.start(arguments, SCALE_COUNTS=str(_counts(folder, relay)))
+        relay.start(arguments, SCALE_COUNTS=str(_counts_path(folder, relay)))
         relays.append(relay)
     return relays
 
 
-def _counts(folder: Path, relay: RelayProcess) -> Path:
+def _counts_path(folder: Path, relay: RelayProcess) -> Path:
     return folder / f"{relay.name}.counts"
 
 
-def _traffic(folder: Path, relay: RelayProcess) -> Traffic:
-    return msgspec.json.decode(_counts(folder, relay).read_bytes(), type=Traffic)
+def _read_traffic(folder: Path, relay: RelayProcess) -> Traffic:
+    return msgspec.json.decode(_counts_path(folder, relay).read_bytes(), type=Traffic)
--- a/cedarledge/scale/hollow.py
+++ b/cedarledge/scale/hollow.py
@@ -1,4 +1,7 @@
-"""Hollow relays on loopback, many to a process: starts the processes and adds up what they measured."""
+"""Measures hollow relays on loopback: starts the worker processes and combines their results.
+
+A hollow relay is a relay without client traffic; many of them run in one process (see hollow_worker).
+"""
 
 from __future__ import annotations
 
@@ -16,18 +19,18 @@
 from cedarledge.scale.hollow_worker import READY, WorkerResult, WorkerSpec
 from cedarledge.terms import MS, SECOND
 
-# From the last process that is ready to the common beginning.
-BEGIN_AFTER = SECOND // 10
-# Past its end a worker is killed.
-KILL_AFTER = 30.0
+# Delay from the last process that is ready to the common start, ns.
+START_DELAY = SECOND // 10
+# A worker that has not exited this long after the end of its run is killed, s.
+EXIT_TIMEOUT = 30.0
 
 
 class HollowError(Exception):
-    """A process did not end as it should."""
+    """A worker process did not start or gave no result."""
 
 
 class HollowSample(msgspec.Struct, frozen=True):
-    """One hollow relay, the mean over a fleet; seconds where not said."""
+    """Means per hollow relay over a fleet. Times are in seconds unless named otherwise."""
 
     bytes_per_second: float
     messages_per_second: float
@@ -47,15 +50,15 @@
 
 
 def free_addresses(count: int, kind: socket.SocketKind = socket.SOCK_DGRAM) -> list[str]:
-    """Addresses on loopback that nobody uses at the moment."""
-    held = [socket.socket(socket.AF_INET, kind) for _ in range(count)]
+    """Returns loopback addresses whose ports are free at the time of the call."""
+    sockets = [socket.socket(socket.AF_INET, kind) for _ in range(count)]
     try:
-        for link in held:
-            link.bind(("127.0.0.1", 0))
-        return ["{}:{}".format(*link.getsockname()) for link in held]
+        for bound_socket in sockets:
+            bound_socket.bind(("127.0.0.1", 0))
+        return ["{}:{}".format(*bound_socket.getsockname()) for bound_socket in sockets]
     finally:
-        for link in held:
-            link.close()
+        for bound_socket in sockets:
+            bound_socket.close()
 
 
 def measure(
@@ -67,16 +70,19 @@
     calm_seconds: float,
     change_seconds: float,
 ) -> HollowSample:
-    """A fleet of hollow relays in so many processes, once; all start within `start_seconds`. A change that is
-    not known after `change_seconds` counts as if it were then."""
+    """Runs one fleet of hollow relays in up to `processes` processes. Raises HollowError.
+
+    The starts are spread over `start_seconds`. A change that a relay does not know after `change_seconds`
+    counts as known at that time.
+    """
     with TemporaryDirectory() as folder:
-        spans = start_seconds, settle_seconds, calm_seconds, change_seconds
-        specs = _specs(size, min(processes, size), backends, *spans)
-        workers = [_start(Path(folder) / f"{place}.json", spec) for place, spec in enumerate(specs)]
-        length = specs[0].end / SECOND + KILL_AFTER
+        durations = start_seconds, settle_seconds, calm_seconds, change_seconds
+        specs = _specs(size, min(processes, size), backends, *durations)
+        workers = [_spawn(Path(folder) / f"{index}.json", spec) for index, spec in enumerate(specs)]
+        timeout = specs[0].end / SECOND + EXIT_TIMEOUT
         try:
-            _begin(workers)
-            results = [_result(worker, length) for worker in workers]
+            _start_measurement(workers)
+            results = [_result(worker, timeout) for worker in workers]
         finally:
             for worker in workers:
                 worker.kill()
@@ -96,45 +102,45 @@
     calm_from = int(settle_seconds * SECOND)
     calm_to = calm_from + int(calm_seconds * SECOND)
     addresses = tuple(free_addresses(size))
-    bounds = [size * place // processes for place in range(processes + 1)]
+    bounds = [size * index // processes for index in range(processes + 1)]
     return [
         WorkerSpec(
             addresses,
             first,
-            past - first,
+            end - first,
             backends,
             int(start_seconds * SECOND),
             calm_from,
             calm_to,
             calm_to + int(change_seconds * SECOND),
         )
-        for first, past in pairwise(bounds)
+        for first, end in pairwise(bounds)
     ]
 
 
-def _start(path: Path, spec: WorkerSpec) -> subprocess.Popen[bytes]:
+def _spawn(path: Path, spec: WorkerSpec) -> subprocess.Popen[bytes]:
     path.write_bytes(msgspec.json.encode(spec))
     command = [sys.executable, "-m", "cedarledge.scale.hollow_worker", str(path)]
     return subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
 
 
-def _begin(workers: list[subprocess.Popen[bytes]]) -> None:
-    """Once all are ready, all begin at one moment. Raises HollowError."""
+def _start_measurement(workers: list[subprocess.Popen[bytes]]) -> None:
+    """Waits until all workers are ready and gives them a common start time. Raises HollowError."""
     for worker in workers:
         if worker.stdout.readline() != READY:
-            raise HollowError("a process of hollow relays did not start")
-    begin = time.monotonic_ns() + BEGIN_AFTER
+            raise HollowError("a process with hollow relays did not start")
+    start_time = time.monotonic_ns() + START_DELAY
     for worker in workers:
-        worker.stdin.write(b"%d\n" % begin)
+        worker.stdin.write(b"%d\n" % start_time)
         worker.stdin.flush()
 
 
-def _result(worker: subprocess.Popen[bytes], within: float) -> WorkerResult:
+def _result(worker: subprocess.Popen[bytes], timeout: float) -> WorkerResult:
     try:
-        told, _ = worker.communicate(timeout=within)
-        return msgspec.json.decode(told, type=WorkerResult)
+        output, _ = worker.communicate(timeout=timeout)
+        return msgspec.json.decode(output, type=WorkerResult)
     except (subprocess.TimeoutExpired, msgspec.MsgspecError) as error:
-        raise HollowError(f"a process of hollow relays gave no result: {error}") from error
+        raise HollowError(f"a process with hollow relays returned no valid result: {error}") from error
 
 
 def _sample(
@@ -146,7 +152,7 @@
     member_seconds = size * calm_seconds
     known = sorted(span / SECOND for result in results for span in result.change_known)
     known += [change_seconds] * (size - 1 - len(known))
-    whole = [result.whole_after for result in results]
+    complete_after = [result.whole_after for result in results]
     return HollowSample(
         total("sent_bytes") / member_seconds,
         total("sent") / member_seconds,
@@ -157,7 +163,7 @@
         total("list_calls") / size,
         1 - total("received") / max(1, total("sent")),
         total("whole_views") / size,
-        max(whole) / SECOND if all(whole) else -1.0,
+        max(complete_after) / SECOND if all(complete_after) else -1.0,
         total("false_deaths"),
         known[0],
         known[math.ceil(0.5 * len(known)) - 1],
--- a/cedarledge/scale/hollow_worker.py
+++ b/cedarledge/scale/hollow_worker.py
@@ -1,8 +1,9 @@
 """One process of hollow relays: python -m cedarledge.scale.hollow_worker SPEC.json.
 
-Each has the real membership machine and shell on a UDP socket of its own, and the real policy without
-clients. The process says that it is ready, reads from standard input when to begin (the machine's monotonic
-clock, ns), writes one JSON object to standard output at its end, and ends.
+Each hollow relay runs the real membership state machine and shell on a UDP socket of its own, and the real
+balancing policy without clients. The process writes `ready` to standard output, reads the start time from
+standard input (monotonic clock of the machine, ns), runs the spec, writes its result as one JSON object to
+standard output and exits.
 """
 
 from __future__ import annotations
@@ -21,32 +22,32 @@
 from cedarledge.net.reactor import install_reactor
 from cedarledge.net.timers import Timers, steady_clock
 from cedarledge.peers.messages import MetadataValue, State
-from cedarledge.scale.counting import CountingPeers, CountingShell, Traffic, changing_load
+from cedarledge.scale.counting import CountingMembership, CountingShell, Traffic, changing_load
 from cedarledge.scale.policy_host import PolicyHost
 from cedarledge.scale.process_cost import processor_ns, resident_bytes
 from cedarledge.scale.target import REGIONS, ZONES
 from cedarledge.terms import MS
 
-LOOK_EVERY, CHANGE_LOOK_EVERY = 250 * MS, 20 * MS
+VIEW_CHECK_INTERVAL, CHANGE_CHECK_INTERVAL = 250 * MS, 20 * MS
 CHANGED_STATE = "away"
 READY = b"ready\n"
 
 
 class WorkerSpec(msgspec.Struct, frozen=True):
-    """What one process plays. Times are ns after the beginning."""
+    """The relays and the schedule of one process. Times are in ns after the common start."""
 
-    addresses: tuple[str, ...]  # of all members
-    first: int  # of this process, by place
+    addresses: tuple[str, ...]  # of all relays of the fleet
+    first: int  # index of the first relay of this process
     count: int
     backends: int
-    start_over: int  # the last of all members starts this late
+    start_over: int  # the starts of all relays are spread over this time
     calm_from: int
     calm_to: int
     end: int
 
 
 class WorkerResult(msgspec.Struct):
-    """Sums over the relays of one process, and times in ns after the start or the change."""
+    """Sums over the relays of one process. Times are in ns after the start or after the change."""
 
     members: int
     sent: int = 0
@@ -58,8 +59,8 @@
     member_bytes: int = 0
     probes: int = 0
     list_calls: int = 0
-    whole_views: int = 0  # at the start of the calm span
-    whole_after: int = 0  # when the last of them was whole; 0: never
+    whole_views: int = 0  # relays that know all others, at the start of the measurement period
+    whole_after: int = 0  # when all relays of this process knew all others; 0: never
     false_deaths: int = 0
     change_known: list[int] = []
 
@@ -67,95 +68,97 @@
 class HollowRelay:
     """One relay without clients."""
 
-    def __init__(self, worker: Worker, place: int) -> None:
+    def __init__(self, worker: Worker, index: int) -> None:
+        """Creates the relay with this index in the fleet; it sends nothing before its shell joins."""
         self.worker = worker
-        self.place = place
-        self.name = f"relay-{place}"
+        self.index = index
+        self.name = f"relay-{index}"
         self.state = "ready"
-        address = worker.spec.addresses[place]
-        self.shell = CountingShell(worker.reactor, worker.timers, address, self.tells)
+        address = worker.spec.addresses[index]
+        self.shell = CountingShell(worker.reactor, worker.timers, address, self.read_metadata)
         seed = int.from_bytes(os.urandom(8), "big")
         seeds = worker.spec.addresses[:3]
-        self.machine = CountingPeers(self.shell, "scale", self.name, address, seeds, seed=seed)
+        self.machine = CountingMembership(self.shell, "scale", self.name, address, seeds, seed=seed)
         relays = len(worker.spec.addresses)
         now = worker.timers.now()
-        self.policy = PolicyHost(now, place, relays, worker.spec.backends, self.wake)
+        self.policy = PolicyHost(now, index, relays, worker.spec.backends, self.set_policy_timer)
         self.knows_change = False
 
-    def wake(self, delay: int, token: int) -> None:
-        """Wakes this relay's policy."""
-        self.worker.timers.after(delay, self._woke, token)
+    def set_policy_timer(self, delay: int, token: int) -> None:
+        """Calls the policy back with the token after the delay in ns."""
+        self.worker.timers.after(delay, self._policy_timer_fired, token)
 
-    def _woke(self, token: int) -> None:
-        self.policy.woke(self.worker.timers.now(), token)
+    def _policy_timer_fired(self, token: int) -> None:
+        self.policy.timer_fired(self.worker.timers.now(), token)
 
-    def tells(self) -> dict[str, MetadataValue]:
-        """As fleet.py, with connections that come and go."""
+    def read_metadata(self) -> dict[str, MetadataValue]:
+        """Returns the metadata that fleet.py publishes, with a load that changes continuously."""
         return {
             "state": self.state,
-            "zone": f"zone-{self.place % ZONES}",
-            "region": f"region-{self.place % REGIONS}",
+            "zone": f"zone-{self.index % ZONES}",
+            "region": f"region-{self.index % REGIONS}",
             "version": __version__,
             "settings": "0f3c5a7b9d12",
         } | changing_load()
 
-    def has_whole_view(self) -> bool:
-        """Whether it holds all others alive."""
+    def has_complete_view(self) -> bool:
+        """Returns whether this relay sees all other relays as alive."""
         alive = sum(member.state is State.ALIVE for member in self.machine.members.values())
         return alive == len(self.worker.spec.addresses) - 1
 
-    def has_heard(self, name: str) -> bool:
-        """Whether it knows of the change that relay made."""
+    def knows_state_change_of(self, name: str) -> bool:
+        """Returns whether this relay knows that the relay `name` has changed its state."""
         member = self.machine.members.get(name)
         return member is not None and member.metadata.get("state", (0, ""))[1] == CHANGED_STATE
 
 
 class Worker:
-    """All hollow relays of this process, and what is measured of them."""
+    """Runs and measures all hollow relays of this process."""
 
-    def __init__(self, spec: WorkerSpec, begin: int) -> None:
+    def __init__(self, spec: WorkerSpec, start_time: int) -> None:
+        """Measures the memory of the process without relays. `start_time` is monotonic, in ns."""
         self.spec = spec
-        self.begin = begin
+        self.start_time = start_time
         self.reactor = install_reactor()
         self.timers = Timers(self.reactor, steady_clock())
         self.result = WorkerResult(spec.count, base_bytes=resident_bytes())
         self.relays: list[HollowRelay] = []
-        self._before = Traffic()
+        self._traffic_before = Traffic()
         self._processor_before = 0
         self._probes_before = 0
 
     def run(self) -> None:
-        """Plays all by the times of the spec, and returns at its end."""
-        for place in range(self.spec.first, self.spec.first + self.spec.count):
-            delay = self.spec.start_over * place // len(self.spec.addresses)
-            self._at(delay, partial(self._start, place))
-        self._at(LOOK_EVERY, self._look)
-        self._at(self.spec.calm_from, self._begin_calm)
-        self._at(self.spec.calm_to, self._end_calm)
-        self._at(self.spec.end, self._end)
+        """Runs the schedule of the spec and returns at its end, after the result was written."""
+        for index in range(self.spec.first, self.spec.first + self.spec.count):
+            delay = self.spec.start_over * index // len(self.spec.addresses)
+            self._schedule(delay, partial(self._start, index))
+        self._schedule(VIEW_CHECK_INTERVAL, self._check_views)
+        self._schedule(self.spec.calm_from, self._begin_calm)
+        self._schedule(self.spec.calm_to, self._end_calm)
+        self._schedule(self.spec.end, self._end)
         self.reactor.run()
 
-    def _at(self, when: int, call: Any) -> None:
-        self.timers.after(self.begin + when - time.monotonic_ns(), call)
+    def _schedule(self, offset: int, callback: Any) -> None:
+        self.timers.after(self.start_time + offset - time.monotonic_ns(), callback)
 
-    def _passed(self) -> int:
-        return time.monotonic_ns() - self.begin
+    def _elapsed(self) -> int:
+        return time.monotonic_ns() - self.start_time
 
-    def _start(self, place: int) -> None:
-        relay = HollowRelay(self, place)
+    def _start(self, index: int) -> None:
+        relay = HollowRelay(self, index)
         self.relays.append(relay)
         relay.shell.join(relay.machine)
 
-    def _whole(self) -> int:
-        return sum(relay.has_whole_view() for relay in self.relays)
+    def _complete_view_count(self) -> int:
+        return sum(relay.has_complete_view() for relay in self.relays)
 
-    def _look(self) -> None:
-        if self._whole() == self.spec.count:
-            self.result.whole_after = self._passed()
-        elif self._passed() < self.spec.calm_from:
-            self.timers.after(LOOK_EVERY, self._look)
+    def _check_views(self) -> None:
+        if self._complete_view_count() == self.spec.count:
+            self.result.whole_after = self._elapsed()
+        elif self._elapsed() < self.spec.calm_from:
+            self.timers.after(VIEW_CHECK_INTERVAL, self._check_views)
 
-    def _sum(self) -> Traffic:
+    def _total_traffic(self) -> Traffic:
         total = Traffic()
         for relay in self.relays:
             for name in Traffic.__struct_fields__:
@@ -163,17 +166,17 @@
         return total
 
     def _begin_calm(self) -> None:
-        self.result.whole_views = self._whole()
+        self.result.whole_views = self._complete_view_count()
         self.result.member_bytes = resident_bytes() - self.result.base_bytes
-        self._before = self._sum()
+        self._traffic_before = self._total_traffic()
         self._probes_before = sum(relay.policy.probes for relay in self.relays)
         self._processor_before = processor_ns()
 
     def _end_calm(self) -> None:
-        result, after = self.result, self._sum()
+        result, traffic_after = self.result, self._total_traffic()
         result.processor_ns = processor_ns() - self._processor_before
         for name in Traffic.__struct_fields__:
-            setattr(result, name, getattr(after, name) - getattr(self._before, name))
+            setattr(result, name, getattr(traffic_after, name) - getattr(self._traffic_before, name))
         result.probes = sum(relay.policy.probes for relay in self.relays) - self._probes_before
         result.list_calls = sum(relay.policy.list_calls for relay in self.relays)
         result.false_deaths = sum(
@@ -181,14 +184,14 @@
         )
         if self.spec.first == 0:
             self.relays[0].state = CHANGED_STATE
-        self._look_for_change()
+        self._check_for_change()
 
-    def _look_for_change(self) -> None:
+    def _check_for_change(self) -> None:
         for relay in self.relays:
-            if not relay.knows_change and relay.place and relay.has_heard("relay-0"):
+            if not relay.knows_change and relay.index and relay.knows_state_change_of("relay-0"):
                 relay.knows_change = True
-                self.result.change_known.append(self._passed() - self.spec.calm_to)
-        self.timers.after(CHANGE_LOOK_EVERY, self._look_for_change)
+                self.result.change_known.append(self._elapsed() - self.spec.calm_to)
+        self.timers.after(CHANGE_CHECK_INTERVAL, self._check_for_change)
 
     def _end(self) -> None:
         sys.stdout.buffer.write(msgspec.json.encode(self.result))
@@ -197,7 +200,7 @@
 
 
 def main() -> None:
-    """Plays the spec that the command line names."""
+    """Runs the spec file that is named on the command line."""
     logger.remove()
     spec = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=WorkerSpec)
     sys.stdout.buffer.write(READY)
--- a/cedarledge/scale/membership.py
+++ b/cedarledge/scale/membership.py
@@ -1,7 +1,8 @@
-"""Membership in virtual time: the machines of cedarledge/peers, and what each costs at a size.
+"""Cost and convergence of membership by fleet size: the state machines of cedarledge/peers in virtual time.
 
-A run starts with all members knowing each other, waits for the start to be over, measures a calm span, then
-changes one member's record and kills another one.
+All members of a run know each other from the beginning. After a warm-up the run measures traffic and
+processor time over a period without failures, then changes the record of one member and finally kills
+another one.
 """
 
 from __future__ import annotations
@@ -22,15 +23,16 @@
 from cedarledge.terms import MS, SECOND
 
 WARM_UP = 15 * SECOND
-# What takes longer counts as this long.
-CHANGE_AWAITED, DEATH_AWAITED = 30 * SECOND, 12 * SECOND
-# How often a relay's shell tells its machine what has changed: see peers/shell.py.
-TELL_EVERY = 500 * MS
-SHARES_OF_MEMBERS = (0.5, 0.99, 1.0)
+# Upper bounds of the measured times: what takes longer counts as this long.
+CHANGE_TIMEOUT, DEATH_TIMEOUT = 30 * SECOND, 12 * SECOND
+# Equal to METADATA_POLL_INTERVAL in peers/shell.py: how often a relay's shell hands its current metadata to
+# the state machine.
+METADATA_POLL_INTERVAL = 500 * MS
+MEMBER_SHARES = (0.5, 0.99, 1.0)
 
 
 class MembershipSample(msgspec.Struct, frozen=True):
-    """What one member costs, and how long the fleet takes to hear of something; seconds where not said."""
+    """Cost per member, and how long a change and a death take to reach the others, in seconds."""
 
     bytes_per_second: float
     messages_per_second: float
@@ -44,97 +46,112 @@
     false_suspicions_per_minute: float
 
 
-class _ChangeWatch:
-    """Notes when each member first holds the new record of one of them."""
+class _ChangeTracker:
+    """Records after which time each member first knows the new state of the member `origin`."""
 
     def __init__(self, fleet: Fleet, origin: str, value: str) -> None:
+        """Starts at the current virtual time; `value` is the new value of the metadata field `state`."""
         self.fleet = fleet
         self.origin = origin
         self.value = value
-        self.began = fleet.simulation.now
-        self.known: dict[str, int] = {}
+        self.started_at = fleet.simulation.now
+        self.known_after: dict[str, int] = {}
 
-    def acted(self, place: MemberNode) -> None:
-        if place.membership is None or place.name in self.known:
+    def node_acted(self, node: MemberNode) -> None:
+        """Checks the node's view; the simulation calls it after each action of a node."""
+        if node.membership is None or node.name in self.known_after:
             return
-        member = place.membership.members.get(self.origin)
+        member = node.membership.members.get(self.origin)
         if member is not None and member.metadata.get("state", (0, ""))[1] == self.value:
-            self.known[place.name] = self.fleet.simulation.now - self.began
+            self.known_after[node.name] = self.fleet.simulation.now - self.started_at
 
-    def times(self, others: int) -> list[float]:
-        """Of the first member and of each share of them; at most as long as is waited."""
-        heard = sorted(span / SECOND for span in self.known.values())
-        heard += [CHANGE_AWAITED / SECOND] * (others - len(heard))
-        return [heard[0]] + [heard[int(np.ceil(share * others)) - 1] for share in SHARES_OF_MEMBERS]
+    def propagation_times(self, others: int) -> list[float]:
+        """Returns the seconds until the first member and each of MEMBER_SHARES knew the change.
+
+        `others` is the number of members that can learn of it. Members that never did count as
+        CHANGE_TIMEOUT.
+        """
+        delays = sorted(span / SECOND for span in self.known_after.values())
+        delays += [CHANGE_TIMEOUT / SECOND] * (others - len(delays))
+        return [delays[0]] + [delays[int(np.ceil(share * others)) - 1] for share in MEMBER_SHARES]
 
 
 def measure(
     size: int, seed: int, calm_seconds: float, loss: float = 0.0, changing: bool = True
 ) -> MembershipSample:
-    """One fleet of a size, with a share of all datagrams lost; `changing`: records change all the time."""
+    """Simulates one fleet.
+
+    `loss` is the share of datagrams lost; with `changing`, records change continuously.
+    """
     calm = int(calm_seconds * SECOND)
-    kill_at = WARM_UP + calm + CHANGE_AWAITED
+    kill_at = WARM_UP + calm + CHANGE_TIMEOUT
     kill = Fault("kill", kill_at, kill_at + SECOND, (size // 2,))
     fleet = Fleet(size, seed, [kill], link=Link(loss=loss), prejoined=True)
-    fleet.simulation.on_action = _nothing
-    _tell_records(fleet, changing)
+    fleet.simulation.on_action = _ignore_action
+    _set_initial_records(fleet, changing)
     fleet.simulation.run(WARM_UP)
-    bytes_before, messages_before = _sent(fleet)
+    bytes_before, messages_before = _sent_totals(fleet)
     false_before = fleet.false_suspicions
     processor_before = time.process_time_ns()
     fleet.simulation.run(WARM_UP + calm)
     processor = time.process_time_ns() - processor_before
-    bytes_after, messages_after = _sent(fleet)
+    bytes_after, messages_after = _sent_totals(fleet)
     member_seconds = size * calm / SECOND
     false_suspicions = fleet.false_suspicions - false_before
-    change = _change(fleet)
-    fleet.simulation.run(kill_at + DEATH_AWAITED)
+    change = _measure_change(fleet)
+    fleet.simulation.run(kill_at + DEATH_TIMEOUT)
     return MembershipSample(
         (bytes_after - bytes_before) / member_seconds,
         (messages_after - messages_before) / member_seconds,
         processor / MS / member_seconds,
         *change,
-        (fleet.detection_times or [DEATH_AWAITED])[0] / SECOND,
-        (fleet.full_detection_times or [DEATH_AWAITED])[0] / SECOND,
+        (fleet.detection_times or [DEATH_TIMEOUT])[0] / SECOND,
+        (fleet.full_detection_times or [DEATH_TIMEOUT])[0] / SECOND,
         false_suspicions / member_seconds * 60,
     )
 
 
-def _tell_records(fleet: Fleet, changing: bool) -> None:
-    """All hold the records that relays tell of themselves, which may go on changing as connections come and
-    go."""
-    for place in fleet.nodes:
-        place.membership.set_metadata(place.now, **_record(place.index, place.index))
-    told = [place.membership.own_update() for place in fleet.nodes]
-    for place in fleet.nodes:
-        for news in told:
-            if news.name != place.name:
-                place.membership._apply_update(news)
-        place.membership._broadcasts.clear()
-        _retell_out_of_step(place.membership, len(told))
+def _set_initial_records(fleet: Fleet, changing: bool) -> None:
+    """Gives every member the records of all others and, if `changing`, schedules updates of their load."""
+    for node in fleet.nodes:
+        node.membership.set_metadata(node.now, **_relay_metadata(node.index, node.index))
+    updates = [node.membership.own_update() for node in fleet.nodes]
+    for node in fleet.nodes:
+        for update in updates:
+            if update.name != node.name:
+                node.membership._apply_update(update)
+        node.membership._broadcasts.clear()
+        _randomize_republish_time(node.membership, len(updates))
         if changing:
-            fleet.simulation.call_later(fleet.rng.randrange(TELL_EVERY), _tell_again, fleet, place)
+            fleet.simulation.call_later(
+                fleet.rng.randrange(METADATA_POLL_INTERVAL), _update_load, fleet, node
+            )
+
 
+def _randomize_republish_time(membership: Membership, size: int) -> None:
+    """Replaces the timer of the periodic metadata broadcast by one that expires at a random time.
 
-def _retell_out_of_step(peers: Membership, size: int) -> None:
-    """Members that start in one moment would all tell their records in the same seconds for minutes."""
-    peers._timers = {
-        token: wait for token, wait in peers._timers.items() if wait[1] != peers._republish_metadata
+    Members that start at the same moment would otherwise broadcast in the same seconds for minutes.
+    """
+    membership._timers = {
+        token: timer
+        for token, timer in membership._timers.items()
+        if timer[1] != membership._republish_metadata
     }
     span = max(METADATA_INTERVAL, METADATA_INTERVAL_PER_MEMBER * size)
-    peers._schedule(peers.rng.randrange(span), peers._republish_metadata)
+    membership._schedule(membership.rng.randrange(span), membership._republish_metadata)
 
 
-def _tell_again(fleet: Fleet, place: MemberNode) -> None:
-    if place.machine is None:
+def _update_load(fleet: Fleet, node: MemberNode) -> None:
+    if node.machine is None:
         return
     load = fleet.rng.randrange(90_000, 97_000)
-    place.membership.set_metadata(place.now, tunnels=load, newcomers=load / 1800)
-    fleet.simulation.call_later(TELL_EVERY, _tell_again, fleet, place)
+    node.membership.set_metadata(node.now, tunnels=load, newcomers=load / 1800)
+    fleet.simulation.call_later(METADATA_POLL_INTERVAL, _update_load, fleet, node)
 
 
-def _record(number: int, load: int) -> dict[str, MetadataValue]:
-    """The fields that a relay with membership tells of itself: see fleet.py."""
+def _relay_metadata(number: int, load: int) -> dict[str, MetadataValue]:
+    """Returns the metadata fields that a relay publishes about itself: see fleet.py."""
     return {
         "state": "ready",
         "zone": f"zone-{number % ZONES}",
@@ -146,26 +163,26 @@
     }
 
 
-def _nothing(_place: Any) -> None:
-    """In place of the model's own checks, whose time is not to be counted."""
+def _ignore_action(_node: Any) -> None:
+    """Replaces the checks of the model, whose processor time must not be measured."""
 
 
-def _sent(fleet: Fleet) -> tuple[int, int]:
-    return sum(place.sent_bytes for place in fleet.nodes), sum(place.sent for place in fleet.nodes)
+def _sent_totals(fleet: Fleet) -> tuple[int, int]:
+    return sum(node.sent_bytes for node in fleet.nodes), sum(node.sent for node in fleet.nodes)
 
 
-def _change(fleet: Fleet) -> list[float]:
+def _measure_change(fleet: Fleet) -> list[float]:
     origin = fleet.nodes[0]
-    watch = _ChangeWatch(fleet, origin.name, "away")
-    fleet.simulation.on_action = watch.acted
+    tracker = _ChangeTracker(fleet, origin.name, "away")
+    fleet.simulation.on_action = tracker.node_acted
     origin.membership.publish_metadata(origin.now, state="away")
-    fleet.simulation.run(fleet.simulation.now + CHANGE_AWAITED)
-    fleet.simulation.on_action = _nothing
-    return watch.times(len(fleet.nodes) - 1)
+    fleet.simulation.run(fleet.simulation.now + CHANGE_TIMEOUT)
+    fleet.simulation.on_action = _ignore_action
+    return tracker.propagation_times(len(fleet.nodes) - 1)
 
 
-class _SilentHost:
-    """Hosts a machine that is only fed."""
+class _NullHost:
+    """Host of a state machine that only receives datagrams; ignores everything that the machine does."""
 
     def send(self, address: str, data: bytes) -> None: ...
     def set_timer(self, delay: int, token: int) -> None: ...
@@ -174,30 +191,32 @@
 
 
 def view_bytes(size: int) -> int:
-    """Memory that one member's view of `size` others takes, by tracemalloc."""
-    speaker = Membership(_SilentHost(), "scale", "speaker", "10.200.0.1:7000")
-    listener = Membership(_SilentHost(), "scale", "listener", "10.200.0.2:7000")
-    head = decode(_ping_of(speaker))
-    datagrams = [encode(msgspec.structs.replace(head, updates=[_news(number)])) for number in range(size)]
+    """Returns the bytes that one member's view of `size` others takes, measured with tracemalloc."""
+    sender = Membership(_NullHost(), "scale", "speaker", "10.200.0.1:7000")
+    receiver = Membership(_NullHost(), "scale", "listener", "10.200.0.2:7000")
+    template = decode(_first_ping_of(sender))
+    datagrams = [
+        encode(msgspec.structs.replace(template, updates=[_member_update(number)])) for number in range(size)
+    ]
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
         for data in datagrams:
-            listener.received(SECOND, data)
+            receiver.received(SECOND, data)
         return tracemalloc.get_traced_memory()[0] - before
     finally:
         tracemalloc.stop()
 
 
-def _ping_of(speaker: Membership) -> bytes:
+def _first_ping_of(sender: Membership) -> bytes:
     sent: list[bytes] = []
-    speaker.host.send = lambda _address, data: sent.append(data)  # type: ignore[method-assign]
-    speaker.seeds = ("10.200.0.2:7000",)
-    speaker.start(0)
+    sender.host.send = lambda _address, data: sent.append(data)  # type: ignore[method-assign]
+    sender.seeds = ("10.200.0.2:7000",)
+    sender.start(0)
     return sent[0]
 
 
-def _news(number: int) -> MemberUpdate:
-    told = {name: (1, value) for name, value in _record(number, 93_000 + number).items()}
+def _member_update(number: int) -> MemberUpdate:
+    metadata = {name: (1, value) for name, value in _relay_metadata(number, 93_000 + number).items()}
     address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:7000"
-    return MemberUpdate(f"relay-{number}", address, number + 1, 0, State.ALIVE, "", told)
+    return MemberUpdate(f"relay-{number}", address, number + 1, 0, State.ALIVE, "", metadata)
--- a/cedarledge/scale/plots.py
+++ b/cedarledge/scale/plots.py
@@ -1,4 +1,4 @@
-"""Draws the curves of a measurement run with their fits."""
+"""Plots the curves of a measurement run with their fits."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def draw(run: MeasurementRun, folder: Path) -> Path:
-    """One picture of a run, a panel for each curve."""
+    """Writes FOLDER/NAME.png with one panel for each curve of the run, and returns its path."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/cedarledge/scale/policy_host.py
+++ b/cedarledge/scale/policy_host.py
@@ -1,4 +1,4 @@
-"""The relay's policy without clients or sockets: a host that counts probes and list calls."""
+"""Host for the balancing policy without clients or sockets; counts probes and list requests."""
 
 from __future__ import annotations
 
@@ -10,55 +10,64 @@
 from cedarledge.settings import Indices, deployment_settings
 from cedarledge.terms import MS, BackendEntry, BackendState, ListForm, LoadReport
 
-PROBE_ANSWERED_AFTER = 2 * MS
+PROBE_ANSWER_DELAY = 2 * MS
 REPORTED_LOAD = 0.4
-# The tokens of answers to probes are told from the policy's own by their size.
-PROBE_TOKEN = 1 << 40
+# Timer tokens from this one on are answers to probes; smaller ones belong to the policy.
+FIRST_PROBE_TOKEN = 1 << 40
 
 
 class PolicyHost:
-    """Runs one Balancer and answers each of its probes with the same report. `wake` is the caller's."""
+    """Runs one Balancer and answers each of its probes with the same load report."""
 
     def __init__(
-        self, now: int, seed: int, relays: int, backends: int, wake: Callable[[int, int], None]
+        self, now: int, seed: int, relays: int, backends: int, set_timer: Callable[[int, int], None]
     ) -> None:
+        """Starts the policy with a list of `backends` backends, as one of `relays` relays.
+
+        `set_timer` takes a delay in ns and a token; the caller passes the token to `timer_fired` after it.
+        """
         self.now = now
-        self.set_timer = wake
+        self.set_timer = set_timer
         self.probes = self.list_calls = 0
-        # As on sockets, where clients' lines tell of hangs alone: see net/relay.py.
-        facts = deployment_settings(RELAY_SETTINGS, seed, now, Indices(["here"]))._replace(
+        # As in a real relay, where the messages of clients only reveal backends that hang: see net/relay.py.
+        settings = deployment_settings(RELAY_SETTINGS, seed, now, Indices(["here"]))._replace(
             message_delays_known=False, relays=relays, relay_index=0
         )
-        self.balancer = Balancer(self, facts)
-        self.balancer.list_changed(now, ListForm.RESTORED, [_entry(number) for number in range(backends)])
+        self.balancer = Balancer(self, settings)
+        self.balancer.list_changed(
+            now, ListForm.RESTORED, [_backend_entry(number) for number in range(backends)]
+        )
 
-    def woke(self, now: int, token: int) -> None:
-        """The policy's timer, or the answer to one of its probes."""
+    def timer_fired(self, now: int, token: int) -> None:
+        """Handles an expired timer of the policy, or the answer to one of its probes."""
         self.now = now
-        if token < PROBE_TOKEN:
+        if token < FIRST_PROBE_TOKEN:
             self.balancer.timer_fired(now, token)
             return
         report = LoadReport(busy_share=REPORTED_LOAD, offered_load=REPORTED_LOAD, service_time=4 * MS)
-        self.balancer.probe_ended(now, token - PROBE_TOKEN, True, report)
+        self.balancer.probe_ended(now, token - FIRST_PROBE_TOKEN, True, report)
 
-    # -- what the policy calls ----------------------------------------------------------------------
+    # -- calls from the policy ----------------------------------------------------------------------
 
-    def probe(self, ep: int) -> None:
+    def probe(self, backend_id: int) -> None:
+        """Counts a probe and schedules its answer."""
         self.probes += 1
-        self.set_timer(PROBE_ANSWERED_AFTER, PROBE_TOKEN + ep)
+        self.set_timer(PROBE_ANSWER_DELAY, FIRST_PROBE_TOKEN + backend_id)
 
     def request_list(self) -> None:
-        # The first call makes a watch, which goes on by itself.
+        """Counts a request for the backend list, which is not answered again."""
+        # In a real relay the first request starts a watch, which needs no further requests.
         self.list_calls += 1
 
     def log(self, text: str) -> None:
-        """Counters of placements, of which there are none."""
+        """Ignores the log line: it counts placements, and without clients there are none."""
 
     def attempt(self, *_: Any) -> None:
-        raise AssertionError("nothing is placed without clients")
+        """Raises AssertionError: without clients there are no connections to place."""
+        raise AssertionError("the policy placed a connection although there are no clients")
 
     reject = close_with_error = move = attempt
 
 
-def _entry(number: int) -> BackendEntry:
+def _backend_entry(number: int) -> BackendEntry:
     return BackendEntry(number, number // 6, 0, 0, 1.0, BackendState.READY, 0, number)
--- a/cedarledge/scale/probing.py
+++ b/cedarledge/scale/probing.py
@@ -1,4 +1,4 @@
-"""The policy's probes and list calls in virtual time, as relays and backends grow."""
+"""Probes and list requests of the balancing policy in virtual time, by number of relays and backends."""
 
 from __future__ import annotations
 
@@ -12,13 +12,16 @@
 from cedarledge.terms import MS, SECOND
 
 WARM_UP = 10 * SECOND
-# Relays do not act on each other here, so a few of them stand for all.
-MOST_PLAYED = 8
-LEAST_RATE = 1e-9
+# The relays are independent of each other here, so a few of them represent all.
+MAX_SIMULATED_RELAYS = 8
+MIN_RATE = 1e-9
 
 
 class ProbingSample(msgspec.Struct, frozen=True):
-    """Probes and first list calls of one relay, and what all relays ask of one backend."""
+    """Probes and list requests of one relay, and the probes that one backend gets from all relays.
+
+    `backend_seen_every` is the mean number of seconds between two probes of a backend by the same relay.
+    """
 
     probes_per_relay_second: float
     probes_per_backend_second: float
@@ -27,8 +30,8 @@
     processor_ms_per_second: float
 
 
-class _Timeline:
-    """Relays on one virtual clock."""
+class _Simulation:
+    """Relays on one virtual clock (ns), and the queue of their timers."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -36,42 +39,42 @@
         self._order = 0
         self.relays: list[PolicyHost] = []
 
-    def add(self, seed: int, relays: int, backends: int) -> None:
-        place = len(self.relays)
+    def add_relay(self, seed: int, relays: int, backends: int) -> None:
+        index = len(self.relays)
 
-        def wake(delay: int, token: int) -> None:
+        def set_timer(delay: int, token: int) -> None:
             self._order += 1
-            heappush(self._heap, (self.now + delay, self._order, place, token))
+            heappush(self._heap, (self.now + delay, self._order, index, token))
 
-        self.relays.append(PolicyHost(self.now, seed, relays, backends, wake))
+        self.relays.append(PolicyHost(self.now, seed, relays, backends, set_timer))
 
     def run(self, until: int) -> None:
         while self._heap and self._heap[0][0] <= until:
-            self.now, _, place, token = heappop(self._heap)
-            self.relays[place].woke(self.now, token)
+            self.now, _, index, token = heappop(self._heap)
+            self.relays[index].timer_fired(self.now, token)
         self.now = until
 
-    def probes(self) -> int:
+    def probe_count(self) -> int:
         return sum(relay.probes for relay in self.relays)
 
 
 def measure(relays: int, backends: int, seed: int, calm_seconds: float) -> ProbingSample:
-    """Relays without clients before so many backends."""
-    timeline = _Timeline()
-    chance = random.Random(seed)
-    played = min(relays, MOST_PLAYED)
-    for _ in range(played):
-        timeline.add(chance.getrandbits(32), relays, backends)
-    timeline.run(WARM_UP)
-    probes_before, processor_before = timeline.probes(), time.process_time_ns()
-    timeline.run(WARM_UP + int(calm_seconds * SECOND))
-    per_relay = (timeline.probes() - probes_before) / played / calm_seconds
+    """Simulates relays without clients and measures them over `calm_seconds` after a warm-up."""
+    simulation = _Simulation()
+    rng = random.Random(seed)
+    simulated = min(relays, MAX_SIMULATED_RELAYS)
+    for _ in range(simulated):
+        simulation.add_relay(rng.getrandbits(32), relays, backends)
+    simulation.run(WARM_UP)
+    probes_before, processor_before = simulation.probe_count(), time.process_time_ns()
+    simulation.run(WARM_UP + int(calm_seconds * SECOND))
+    per_relay = (simulation.probe_count() - probes_before) / simulated / calm_seconds
     per_backend = per_relay * relays / backends
-    processor = (time.process_time_ns() - processor_before) / MS / played / calm_seconds
+    processor = (time.process_time_ns() - processor_before) / MS / simulated / calm_seconds
     return ProbingSample(
         per_relay,
         per_backend,
-        backends / max(per_relay, LEAST_RATE),
-        sum(relay.list_calls for relay in timeline.relays) / played,
+        backends / max(per_relay, MIN_RATE),
+        sum(relay.list_calls for relay in simulation.relays) / simulated,
         processor,
     )
--- a/cedarledge/scale/relay_load.py
+++ b/cedarledge/scale/relay_load.py
@@ -1,4 +1,4 @@
-"""Today's relay: what a connection at rest takes, what opening one takes, and what a delivered line takes."""
+"""Cost of one relay process: of an idle connection, of opening a connection and of delivering a line."""
 
 from __future__ import annotations
 
@@ -14,13 +14,17 @@
 from cedarledge.scale.traffic import Backends, Clients, Discovery
 from cedarledge.terms import MS
 
-OPEN_LONGEST = 240.0
-# How long lines may be under way after the last one was sent.
-DRAIN, DRAIN_LOOK = 10.0, 0.05
+OPEN_TIMEOUT = 240.0
+# How long to wait for outstanding lines after the last one was sent, s.
+DRAIN_TIMEOUT, DRAIN_POLL_INTERVAL = 10.0, 0.05
 
 
-class RestSample(msgspec.Struct, frozen=True):
-    """A relay with so many connections on which nothing is said."""
+class IdleSample(msgspec.Struct, frozen=True):
+    """One relay process with idle connections.
+
+    `refused_share` is the share of refused attempts among all attempts to open. `lost` counts the
+    connections that ended during the run.
+    """
 
     resident_bytes: float
     processor_ms_per_second: float
@@ -31,10 +35,10 @@
 
 
 class DeliverySample(msgspec.Struct, frozen=True):
-    """A relay that passes on so many lines a second from backends to clients.
+    """One relay process that forwards lines from backends to clients at a constant rate.
 
-    `generator_late_ms` is the longest that the process which sends and reads lines stood still: latencies up
-    to that are its own.
+    `generator_late_ms` is the longest stall of the process that sends and receives the lines. Latencies up to
+    this value may be caused by that process and not by the relay.
     """
 
     processor_ms_per_second: float
@@ -45,10 +49,11 @@
     generator_late_ms: float
 
 
-class Stage:
+class RelayTestbed:
     """Discovery, backends, one relay process and its clients."""
 
     def __init__(self, folder: Path, backends: int) -> None:
+        """Creates `backends` backends; `folder` receives the relay's configuration and log."""
         self.backends = Backends(backends)
         self.discovery = Discovery(self.backends)
         self.folder = folder
@@ -56,75 +61,86 @@
         self.clients: Clients
 
     async def start(self) -> None:
-        """Starts all of them and waits for the relay."""
+        """Starts all parts and waits until the relay accepts connections, else raises RelayError."""
         await self.backends.start()
         await self.discovery.start()
         address = free_tcp_address()
         self.relay = RelayProcess(self.folder, "relay-0", address, self.discovery, self.backends)
         self.relay.start()
-        await self.relay.until_ready()
+        await self.relay.wait_until_ready()
         self.clients = Clients(self.relay.address)
 
-    async def fill(self, connections: int) -> None:
-        """Raises RelayError if so many can't be opened."""
-        if not await self.clients.grow(connections, OPEN_LONGEST):
-            raise RelayError(f"{len(self.clients.open)} of {connections} connections could be opened")
+    async def open_connections(self, connections: int) -> None:
+        """Opens connections until there are this many. Raises RelayError after OPEN_TIMEOUT."""
+        if not await self.clients.connect(connections, OPEN_TIMEOUT):
+            raise RelayError(f"{len(self.clients.open_connections)} of {connections} connections were opened")
 
-    async def drain(self, sent: int) -> None:
-        """Waits until all lines have come, or no longer."""
-        until = time.monotonic() + DRAIN
-        while self.clients.received < sent and time.monotonic() < until:
-            await asyncio.sleep(DRAIN_LOOK)
+    async def wait_for_deliveries(self, sent: int) -> None:
+        """Waits until the clients have received all `sent` lines, at most for DRAIN_TIMEOUT."""
+        deadline = time.monotonic() + DRAIN_TIMEOUT
+        while self.clients.received < sent and time.monotonic() < deadline:
+            await asyncio.sleep(DRAIN_POLL_INTERVAL)
 
     def stop(self) -> None:
-        """Ends the relay and its clients."""
+        """Resets the clients' connections and kills the relay."""
         self.clients.close()
         self.relay.stop()
 
 
-def measure_rest(connections: int, backends: int, settle_seconds: float, calm_seconds: float) -> RestSample:
-    """One relay process with so many connections at rest."""
+def measure_idle(connections: int, backends: int, settle_seconds: float, calm_seconds: float) -> IdleSample:
+    """Opens the connections, waits `settle_seconds` and measures the idle relay over `calm_seconds`.
+
+    Raises RelayError if the relay does not start or not all connections can be opened.
+    """
     with TemporaryDirectory() as folder:
-        return asyncio.run(_rest(Path(folder), connections, backends, settle_seconds, calm_seconds))
+        return asyncio.run(_measure_idle(Path(folder), connections, backends, settle_seconds, calm_seconds))
 
 
-async def _rest(
+async def _measure_idle(
     folder: Path, connections: int, backends: int, settle_seconds: float, calm_seconds: float
-) -> RestSample:
-    stage = Stage(folder, backends)
-    await stage.start()
+) -> IdleSample:
+    testbed = RelayTestbed(folder, backends)
+    await testbed.start()
     try:
-        began, before = time.monotonic(), processor_ns(stage.relay.pid)
-        await stage.fill(connections)
-        opening, took = processor_ns(stage.relay.pid) - before, time.monotonic() - began
+        started_at, before = time.monotonic(), processor_ns(testbed.relay.pid)
+        await testbed.open_connections(connections)
+        opening_cost, opening_seconds = (
+            processor_ns(testbed.relay.pid) - before,
+            time.monotonic() - started_at,
+        )
         await asyncio.sleep(settle_seconds)
-        before = processor_ns(stage.relay.pid)
+        before = processor_ns(testbed.relay.pid)
         await asyncio.sleep(calm_seconds)
-        resting = processor_ns(stage.relay.pid) - before
-        clients = stage.clients
-        return RestSample(
-            resident_bytes(stage.relay.pid),
-            resting / MS / calm_seconds,
-            opening / MS / connections,
-            connections / took,
+        idle_cost = processor_ns(testbed.relay.pid) - before
+        clients = testbed.clients
+        return IdleSample(
+            resident_bytes(testbed.relay.pid),
+            idle_cost / MS / calm_seconds,
+            opening_cost / MS / connections,
+            connections / opening_seconds,
             clients.refused / (clients.refused + connections),
             clients.lost,
         )
     finally:
-        stage.stop()
+        testbed.stop()
 
 
 def measure_deliveries(
     rate: int, connections: int, backends: int, line_bytes: int, settle_seconds: float, seconds: float
 ) -> DeliverySample:
-    """One relay process that passes on lines at a rate."""
+    """Opens the connections, then sends `rate` lines per second through the relay for `seconds`.
+
+    Raises RelayError if the relay does not start or not all connections can be opened.
+    """
     with TemporaryDirectory() as folder:
         return asyncio.run(
-            _deliveries(Path(folder), rate, connections, backends, line_bytes, settle_seconds, seconds)
+            _measure_deliveries(
+                Path(folder), rate, connections, backends, line_bytes, settle_seconds, seconds
+            )
         )
 
 
-async def _deliveries(
+async def _measure_deliveries(
     folder: Path,
     rate: int,
     connections: int,
@@ -133,23 +149,23 @@
     settle_seconds: float,
     seconds: float,
 ) -> DeliverySample:
-    stage = Stage(folder, backends)
-    await stage.start()
+    testbed = RelayTestbed(folder, backends)
+    await testbed.start()
     try:
-        await stage.fill(connections)
+        await testbed.open_connections(connections)
         await asyncio.sleep(settle_seconds)
-        before = processor_ns(stage.relay.pid)
-        sent = await stage.backends.push(rate, seconds, line_bytes)
-        await stage.drain(sent)
-        busy = processor_ns(stage.relay.pid) - before
-        latency = stage.clients.latency
+        before = processor_ns(testbed.relay.pid)
+        sent = await testbed.backends.push(rate, seconds, line_bytes)
+        await testbed.wait_for_deliveries(sent)
+        delivery_cost = processor_ns(testbed.relay.pid) - before
+        latency = testbed.clients.latency
         return DeliverySample(
-            busy / MS / seconds,
-            stage.clients.received / max(1, sent),
+            delivery_cost / MS / seconds,
+            testbed.clients.received / max(1, sent),
             latency.get_value_at_percentile(50) / 1000,
             latency.get_value_at_percentile(99) / 1000,
             latency.get_max_value() / 1000,
-            stage.backends.longest_pause * 1000,
+            testbed.backends.longest_stall * 1000,
         )
     finally:
-        stage.stop()
+        testbed.stop()
--- a/cedarledge/scale/relay_process.py
+++ b/cedarledge/scale/relay_process.py
@@ -1,4 +1,4 @@
-"""Starts a real relay as a process before this process's discovery and backends."""
+"""Starts a real relay process that uses the discovery and the backends of this process."""
 
 from __future__ import annotations
 
@@ -15,20 +15,24 @@
 from cedarledge.scale.relay_settings import RELAY_SETTINGS
 from cedarledge.scale.traffic import REVISION, Backends, Discovery
 
-READY_WITHIN = 30.0
-LOOK_EVERY = 0.05
+READY_TIMEOUT = 30.0
+READY_POLL_INTERVAL = 0.05
 
 
 class RelayError(Exception):
-    """A relay process did not start."""
+    """A relay process did not start, or accepts too few connections."""
 
 
 class RelayProcess:
-    """One relay; to be ended with `stop`."""
+    """One relay process. The caller ends it with `stop`."""
 
     def __init__(
         self, folder: Path, name: str, address: str, discovery: Discovery, backends: Backends
     ) -> None:
+        """Prepares the configuration; `folder` receives it and the log, the relay listens on `address`.
+
+        `config` may be changed until `start` is called.
+        """
         self.folder = folder
         self.name = name
         host, _, port = address.rpartition(":")
@@ -39,34 +43,39 @@
             "discovery": discovery.address,
             "seed": f"{abs(hash(name)) & 0xFFFFFFFF:016x}",
             "limits": {"cores": 1.0, "memory_mb": 1024, "sockets": 19_000},
-            "known": {"revision": REVISION, "complete": True, "members": backends.listing()},
+            "known": {"revision": REVISION, "complete": True, "members": backends.discovery_entries()},
             "settings": RELAY_SETTINGS,
         }
         self.process: subprocess.Popen[bytes] | None = None
 
     @property
     def pid(self) -> int:
-        """Of the running process."""
+        """Returns the process id of the running process."""
         assert self.process is not None
         return self.process.pid
 
     def start(self, arguments: Sequence[str] = ("-m", "cedarledge"), **environment: str) -> None:
-        """Starts the process; `arguments` are those of the interpreter."""
+        """Starts the Python interpreter with these arguments and extra environment variables."""
         config = self.folder / f"{self.name}.json"
         config.write_text(json.dumps(self.config))
         log = (self.folder / f"{self.name}.log").open("ab")
-        told = os.environ | {"BALANCER_CONFIG": str(config)} | environment
-        self.process = subprocess.Popen([sys.executable, *arguments], stderr=log, stdout=log, env=told)
+        process_environment = os.environ | {"BALANCER_CONFIG": str(config)} | environment
+        self.process = subprocess.Popen(
+            [sys.executable, *arguments], stderr=log, stdout=log, env=process_environment
+        )
         log.close()
 
-    async def until_ready(self) -> None:
-        """Raises RelayError."""
-        until = time.monotonic() + READY_WITHIN
-        while time.monotonic() < until and self.process is not None and self.process.poll() is None:
+    async def wait_until_ready(self) -> None:
+        """Waits until the relay accepts connections.
+
+        Raises RelayError with the end of its log if it exits, or does not accept within READY_TIMEOUT.
+        """
+        deadline = time.monotonic() + READY_TIMEOUT
+        while time.monotonic() < deadline and self.process is not None and self.process.poll() is None:
             try:
                 _, writer = await asyncio.open_connection(*self.address)
             except OSError:
-                await asyncio.sleep(LOOK_EVERY)
+                await asyncio.sleep(READY_POLL_INTERVAL)
                 continue
             writer.close()
             return
@@ -81,6 +90,6 @@
 
 
 def free_tcp_address() -> str:
-    """One on loopback that nobody listens at."""
-    with socket.create_server(("127.0.0.1", 0)) as link:
-        return "{}:{}".format(*link.getsockname())
+    """Returns a loopback address whose TCP port is free at the time of the call."""
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        return "{}:{}".format(*listener.getsockname())
--- a/cedarledge/scale/relay_settings.py
+++ b/cedarledge/scale/relay_settings.py
@@ -1,4 +1,4 @@
-"""The settings that measured relays are started with."""
+"""The `settings` of the configuration that measured relays start with; times in microseconds."""
 
 from __future__ import annotations
 
