--- a/cedarledge/scale/comparison.py
+++ b/cedarledge/scale/comparison.py
@@ -37,14 +37,14 @@
     list_calls_per_second: float
 
 
-def measure(size: int, backends: int, settle_seconds: float, calm_seconds: float) -> RelaySample:
+def measure(size: int, backends: int, settle_seconds: float, measurement_seconds: float) -> RelaySample:
     """Runs one fleet of relay processes on loopback. Raises RelayError if a relay does not start."""
     with TemporaryDirectory() as folder:
-        return asyncio.run(_measure(Path(folder), size, backends, settle_seconds, calm_seconds))
+        return asyncio.run(_measure(Path(folder), size, backends, settle_seconds, measurement_seconds))
 
 
 async def _measure(
-    folder: Path, size: int, backend_count: int, settle_seconds: float, calm_seconds: float
+    folder: Path, size: int, backend_count: int, settle_seconds: float, measurement_seconds: float
 ) -> RelaySample:
     backends = Backends(backend_count)
     discovery = Discovery(backends)
@@ -58,10 +58,10 @@
         before = [_read_traffic(folder, relay) for relay in relays]
         processor = sum(processor_ns(relay.pid) for relay in relays)
         probes, requests = backends.probes, discovery.requests
-        await asyncio.sleep(calm_seconds)
+        await asyncio.sleep(measurement_seconds)
         after = [_read_traffic(folder, relay) for relay in relays]
         processor = sum(processor_ns(relay.pid) for relay in relays) - processor
-        relay_seconds = size * calm_seconds
+        relay_seconds = size * measurement_seconds
         return RelaySample(
             (sum(traffic.sent_bytes for traffic in after) - sum(traffic.sent_bytes for traffic in before))
             / relay_seconds,
--- a/cedarledge/scale/hollow.py
+++ b/cedarledge/scale/hollow.py
@@ -67,7 +67,7 @@
     backends: int,
     start_seconds: float,
     settle_seconds: float,
-    calm_seconds: float,
+    measurement_seconds: float,
     change_seconds: float,
 ) -> HollowSample:
     """Runs one fleet of hollow relays in up to `processes` processes. Raises HollowError.
@@ -76,18 +76,18 @@
     counts as known at that time.
     """
     with TemporaryDirectory() as folder:
-        durations = start_seconds, settle_seconds, calm_seconds, change_seconds
+        durations = start_seconds, settle_seconds, measurement_seconds, change_seconds
         specs = _specs(size, min(processes, size), backends, *durations)
         workers = [_spawn(Path(folder) / f"{index}.json", spec) for index, spec in enumerate(specs)]
         timeout = specs[0].end / SECOND + EXIT_TIMEOUT
         try:
-            _start_measurement(workers)
+            _start_workers(workers)
             results = [_result(worker, timeout) for worker in workers]
         finally:
             for worker in workers:
                 worker.kill()
                 worker.wait()
-    return _sample(size, results, calm_seconds, change_seconds)
+    return _sample(size, results, measurement_seconds, change_seconds)
 
 
 def _specs(
@@ -96,11 +96,11 @@
     backends: int,
     start_seconds: float,
     settle_seconds: float,
-    calm_seconds: float,
+    measurement_seconds: float,
     change_seconds: float,
 ) -> list[WorkerSpec]:
     calm_from = int(settle_seconds * SECOND)
-    calm_to = calm_from + int(calm_seconds * SECOND)
+    calm_to = calm_from + int(measurement_seconds * SECOND)
     addresses = tuple(free_addresses(size))
     bounds = [size * index // processes for index in range(processes + 1)]
     return [
@@ -124,7 +124,7 @@
     return subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
 
 
-def _start_measurement(workers: list[subprocess.Popen[bytes]]) -> None:
+def _start_workers(workers: list[subprocess.Popen[bytes]]) -> None:
     """Waits until all workers are ready and gives them a common start time. Raises HollowError."""
     for worker in workers:
         if worker.stdout.readline() != READY:
@@ -144,12 +144,12 @@
 
 
 def _sample(
-    size: int, results: list[WorkerResult], calm_seconds: float, change_seconds: float
+    size: int, results: list[WorkerResult], measurement_seconds: float, change_seconds: float
 ) -> HollowSample:
     def total(name: str) -> int:
         return sum(getattr(result, name) for result in results)
 
-    member_seconds = size * calm_seconds
+    member_seconds = size * measurement_seconds
     known = sorted(span / SECOND for result in results for span in result.change_known)
     known += [change_seconds] * (size - 1 - len(known))
     complete_after = [result.whole_after for result in results]
--- a/cedarledge/scale/hollow_worker.py
+++ b/cedarledge/scale/hollow_worker.py
@@ -41,7 +41,7 @@
     count: int
     backends: int
     start_over: int  # the starts of all relays are spread over this time
-    calm_from: int
+    calm_from: int  # start and end of the measurement period
     calm_to: int
     end: int
 
@@ -133,8 +133,8 @@
             delay = self.spec.start_over * index // len(self.spec.addresses)
             self._schedule(delay, partial(self._start, index))
         self._schedule(VIEW_CHECK_INTERVAL, self._check_views)
-        self._schedule(self.spec.calm_from, self._begin_calm)
-        self._schedule(self.spec.calm_to, self._end_calm)
+        self._schedule(self.spec.calm_from, self._begin_measurement)
+        self._schedule(self.spec.calm_to, self._end_measurement)
         self._schedule(self.spec.end, self._end)
         self.reactor.run()
 
@@ -165,14 +165,14 @@
                 setattr(total, name, getattr(total, name) + getattr(relay.shell.traffic, name))
         return total
 
-    def _begin_calm(self) -> None:
+    def _begin_measurement(self) -> None:
         self.result.whole_views = self._complete_view_count()
         self.result.member_bytes = resident_bytes() - self.result.base_bytes
         self._traffic_before = self._total_traffic()
         self._probes_before = sum(relay.policy.probes for relay in self.relays)
         self._processor_before = processor_ns()
 
-    def _end_calm(self) -> None:
+    def _end_measurement(self) -> None:
         result, traffic_after = self.result, self._total_traffic()
         result.processor_ns = processor_ns() - self._processor_before
         for name in Traffic.__struct_fields__:
--- a/cedarledge/scale/membership.py
+++ b/cedarledge/scale/membership.py
@@ -77,14 +77,14 @@
 
 
 def measure(
-    size: int, seed: int, calm_seconds: float, loss: float = 0.0, changing: bool = True
+    size: int, seed: int, measurement_seconds: float, loss: float = 0.0, changing: bool = True
 ) -> MembershipSample:
     """Simulates one fleet.
 
     `loss` is the share of datagrams lost; with `changing`, records change continuously.
     """
-    calm = int(calm_seconds * SECOND)
-    kill_at = WARM_UP + calm + CHANGE_TIMEOUT
+    measurement_period = int(measurement_seconds * SECOND)
+    kill_at = WARM_UP + measurement_period + CHANGE_TIMEOUT
     kill = Fault("kill", kill_at, kill_at + SECOND, (size // 2,))
     fleet = Fleet(size, seed, [kill], link=Link(loss=loss), prejoined=True)
     fleet.simulation.on_action = _ignore_action
@@ -93,10 +93,10 @@
     bytes_before, messages_before = _sent_totals(fleet)
     false_before = fleet.false_suspicions
     processor_before = time.process_time_ns()
-    fleet.simulation.run(WARM_UP + calm)
+    fleet.simulation.run(WARM_UP + measurement_period)
     processor = time.process_time_ns() - processor_before
     bytes_after, messages_after = _sent_totals(fleet)
-    member_seconds = size * calm / SECOND
+    member_seconds = size * measurement_period / SECOND
     false_suspicions = fleet.false_suspicions - false_before
     change = _measure_change(fleet)
     fleet.simulation.run(kill_at + DEATH_TIMEOUT)
--- a/cedarledge/scale/probing.py
+++ b/cedarledge/scale/probing.py
@@ -58,8 +58,8 @@
         return sum(relay.probes for relay in self.relays)
 
 
-def measure(relays: int, backends: int, seed: int, calm_seconds: float) -> ProbingSample:
-    """Simulates relays without clients and measures them over `calm_seconds` after a warm-up."""
+def measure(relays: int, backends: int, seed: int, measurement_seconds: float) -> ProbingSample:
+    """Simulates relays without clients and measures them over `measurement_seconds` after a warm-up."""
     simulation = _Simulation()
     rng = random.Random(seed)
     simulated = min(relays, MAX_SIMULATED_RELAYS)
@@ -67,10 +67,10 @@
         simulation.add_relay(rng.getrandbits(32), relays, backends)
     simulation.run(WARM_UP)
     probes_before, processor_before = simulation.probe_count(), time.process_time_ns()
-    simulation.run(WARM_UP + int(calm_seconds * SECOND))
-    per_relay = (simulation.probe_count() - probes_before) / simulated / calm_seconds
+    simulation.run(WARM_UP + int(measurement_seconds * SECOND))
+    per_relay = (simulation.probe_count() - probes_before) / simulated / measurement_seconds
     per_backend = per_relay * relays / backends
-    processor = (time.process_time_ns() - processor_before) / MS / simulated / calm_seconds
+    processor = (time.process_time_ns() - processor_before) / MS / simulated / measurement_seconds
     return ProbingSample(
         per_relay,
         per_backend,
--- a/cedarledge/scale/relay_load.py
+++ b/cedarledge/scale/relay_load.py
@@ -87,17 +87,21 @@
         self.relay.stop()
 
 
-def measure_idle(connections: int, backends: int, settle_seconds: float, calm_seconds: float) -> IdleSample:
-    """Opens the connections, waits `settle_seconds` and measures the idle relay over `calm_seconds`.
+def measure_idle(
+    connections: int, backends: int, settle_seconds: float, measurement_seconds: float
+) -> IdleSample:
+    """Opens the connections, waits `settle_seconds` and measures the idle relay over `measurement_seconds`.
 
     Raises RelayError if the relay does not start or not all connections can be opened.
     """
     with TemporaryDirectory() as folder:
-        return asyncio.run(_measure_idle(Path(folder), connections, backends, settle_seconds, calm_seconds))
+        return asyncio.run(
+            _measure_idle(Path(folder), connections, backends, settle_seconds, measurement_seconds)
+        )
 
 
 async def _measure_idle(
-    folder: Path, connections: int, backends: int, settle_seconds: float, calm_seconds: float
+    folder: Path, connections: int, backends: int, settle_seconds: float, measurement_seconds: float
 ) -> IdleSample:
     testbed = RelayTestbed(folder, backends)
     await testbed.start()
@@ -110,12 +114,12 @@
         )
         await asyncio.sleep(settle_seconds)
         before = processor_ns(testbed.relay.pid)
-        await asyncio.sleep(calm_seconds)
+        await asyncio.sleep(measurement_seconds)
         idle_cost = processor_ns(testbed.relay.pid) - before
         clients = testbed.clients
         return IdleSample(
             resident_bytes(testbed.relay.pid),
-            idle_cost / MS / calm_seconds,
+            idle_cost / MS / measurement_seconds,
             opening_cost / MS / connections,
             connections / opening_seconds,
             clients.refused / (clients.refused + connections),
