--- a/cedarledge/__main__.py
+++ b/cedarledge/__main__.py
@@ -56,7 +56,7 @@
         config = read_config(os.environ, START_READ_ATTEMPTS)
         if operator_file is None:
             return run(config)
-        return run(config, _operator_file_reader(operator_file), joins=_join_peers)
+        return run(config, _operator_file_reader(operator_file), start_features=_join_peers)
     except BadConfigError as why:
         sys.stderr.write(f"cedarledge: {why}\n")
         return START_FAILED
--- a/cedarledge/net/relay.py
+++ b/cedarledge/net/relay.py
@@ -62,7 +62,7 @@
 # Delay before a configuration that could not be read for want of a system resource is read again.
 RELOAD_RETRY_DELAY = 100 * MS
 ReadOperatorFile = Callable[[], "OperatorFile"]
-Joins = Callable[["Relay", RelayConfig, "OperatorFile"], None]
+StartFeatures = Callable[["Relay", RelayConfig, "OperatorFile"], None]
 
 
 def _raise_descriptor_limit(sockets: int) -> int:
@@ -347,11 +347,11 @@
     config: RelayConfig,
     read_operator_file: ReadOperatorFile | None = None,
     balancer: MakeBalancer = Balancer,
-    joins: Joins | None = None,
+    start_features: StartFeatures | None = None,
 ) -> int:
     """Runs a relay until it is told to end, and returns its exit code.
 
-    `joins` starts what the operator file enables. Raises BadConfigError.
+    `start_features` starts what the operator file enables. Raises BadConfigError.
     """
     signals.block()
     wanted = read_operator_file() if read_operator_file is not None else None
@@ -374,8 +374,8 @@
         len(relay.registry.ready),
         relay.tunnels.table.capacity,
     )
-    if joins is not None and wanted is not None:
-        joins(relay, config, wanted)
+    if start_features is not None and wanted is not None:
+        start_features(relay, config, wanted)
     # Installed once the reactor runs: Twisted's own SIGTERM handler, installed as it starts, would stop the
     # reactor and drop every connection.
     reactor.callWhenRunning(
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -142,7 +142,7 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(changes_drawn=changes)
-def test_settings_are_served_or_refused_by_their_place(changes_drawn: list[tuple]) -> None:
+def test_settings_are_served_or_refused_with_their_path(changes_drawn: list[tuple]) -> None:
     relay_settings = copy.deepcopy(ALL_SETTINGS)
     for path, value in changes_drawn:
         change(relay_settings, path, value)
@@ -155,7 +155,7 @@
         run_relay(relay_settings, patch)
 
 
-def test_only_what_no_relay_can_do_without_is_refused_where_it_is_missing(monkeypatch: MonkeyPatch) -> None:
+def test_only_required_settings_are_refused_when_they_are_missing(monkeypatch: MonkeyPatch) -> None:
     """Guards against settings that ended the relay's start or its connections: no warm-up time, a latency
     goal or limit of zero, and null loads."""
     required = {("allowed",), ("safety",), *(tuple(path.split(".")) for path in REQUIRED_SETTINGS)}
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,10 +18,10 @@
 
     @initialize(
         seed=st.integers(0, 99),
-        ask=st.booleans(),
-        ranked=st.booleans(),
+        requests_list=st.booleans(),
+        weighted=st.booleans(),
         grouped=st.booleans(),
-        setups=st.integers(1, 4),
+        max_attempts=st.integers(1, 4),
         probes=st.booleans(),
         relays=st.integers(1, 4),
         cells=st.integers(1, 4),
@@ -30,10 +30,10 @@
     def begin(
         self,
         seed: int,
-        ask: bool,
-        ranked: bool,
+        requests_list: bool,
+        weighted: bool,
         grouped: bool,
-        setups: int,
+        max_attempts: int,
         probes: bool,
         relays: int,
         cells: int,
@@ -44,13 +44,13 @@
             make_settings(
                 window=window,
                 seed=seed,
-                requests_list=ask,
-                weighted=ranked,
+                requests_list=requests_list,
+                weighted=weighted,
                 grouped=grouped,
-                max_attempts=setups,
+                max_attempts=max_attempts,
                 probes=probes,
                 relays=relays,
-                max_retry_after=SECOND if ask else 0,
+                max_retry_after=SECOND if requests_list else 0,
                 tenant_quotas=(4.0, 4.0),
                 over_quota_value_factor=0.1,
             )
@@ -166,7 +166,7 @@
     seed=st.integers(0, 99),
 )
 @settings(derandomize=True, max_examples=25, deadline=None)
-def test_all_relays_together_stay_under_a_cold_backends_multiple(
+def test_all_relays_together_stay_within_a_cold_backends_slow_start_budget(
     load: float, relays: int, rush: int, age: int, seed: int
 ) -> None:
     hosts = [
