--- a/cedarledge/model/votes.py
+++ b/cedarledge/model/votes.py
@@ -1,4 +1,7 @@
-"""Voters in virtual time: random troubles, and every order of a few messages between three of them."""
+"""Simulation of the quorum register: voters under random faults.
+
+An exhaustive exploration covers all orders of a few events of three voters.
+"""
 
 from __future__ import annotations
 
@@ -11,23 +14,25 @@
 from cedarledge.model.simulation import Link, Node, Simulation
 from cedarledge.terms import MS, SECOND
 
-# After the last fault a new value is held by all within this.
+# All voters must know a new value within this time after the last fault.
 AGREEMENT_TIMEOUT = 25 * SECOND
 FAULTS_UNTIL = 30 * SECOND
 FAULT_KINDS = ("cut", "loss", "slow", "stop", "crash", "forget", "forget_all", "flap")
 
 
 class VoterNode(Node):
-    """A voter's seat; its memory outlasts its process if `lasts`."""
+    """A node that runs a voter, and the voter's host. Persisted state outlives the process."""
 
     def __init__(self, simulation: Simulation, cluster: VoterCluster, index: int) -> None:
+        """Creates a node without a process and without stored state."""
         super().__init__(simulation, f"v{index}")
         self.cluster = cluster
         self.index = index
         self.stored_state: bytes | None = None
 
     def start_process(self) -> None:
-        # What relays that are no voters have heard outlasts all voters.
+        """Starts a voter with the stored state, if there is one, and the highest slot chosen so far."""
+        # Relays that are no voters know the chosen values too, so these outlive all voters.
         highest_slot = max(self.cluster.chosen_values, default=0)
         seed = self.simulation.rng.getrandbits(60)
         voter = self.cluster.voter_type(
@@ -38,45 +43,53 @@
 
     @property
     def voter(self) -> Voter:
+        """The voter of the running process; there must be one."""
         return self.machine.voter  # type: ignore[union-attr]
 
-    # -- the machine's host ------------------------------------------------------------------------
+    # -- host of the voter ------------------------------------------------------------------------
 
     def send(self, index: int, data: bytes) -> None:  # type: ignore[override]
+        """Sends a datagram to the voter with this index."""
         super().send(f"v{index}", data)
 
     def persist(self, stored_state: bytes) -> None:
+        """Stores what the voter needs after a restart."""
         self.stored_state = stored_state
 
     def approves(self, value: bytes) -> bool:
+        """Whether this voter may vote for a proposed value."""
         return self.cluster.is_approved(self.index, value)
 
     def chosen(self, slot: int, value: bytes) -> None:
+        """Called by the voter when it learns the chosen value of a slot."""
         self.cluster.record_chosen(self.index, slot, value)
 
 
 class VoterAdapter(NamedTuple):
-    """A voter as the world calls it: it asks for no time."""
+    """Adapts a voter, whose methods take no time, to the StateMachine protocol."""
 
     voter: Voter
 
     def received(self, _now: int, data: bytes) -> None:
+        """Passes a datagram on to the voter."""
         self.voter.received(data)
 
     def timer_expired(self, _now: int, token: int) -> None:
+        """Passes an expired timer on to the voter."""
         self.voter.timer_expired(token)
 
 
 class VoterCluster:
-    """All voters of one world, and what was ever held."""
+    """All voters of one simulation, and the values that were chosen, by slot."""
 
     def __init__(self, count: int, seed: int, voter_type: type[Voter] = Voter) -> None:
+        """Starts `count` voters of the class `voter_type`."""
         self.voter_count = count
         self.voter_type = voter_type
         self.simulation = Simulation(seed)
         self.rng = random.Random(seed * 77 + 1)
         self.chosen_values: dict[int, bytes] = {}
-        self.latest_slots: dict[int, int] = {}  # by place, of the life that runs
+        self.latest_slots: dict[int, int] = {}  # last slot that the running process learned, by voter
         self.proposal_count = 0
         self.nodes = [VoterNode(self.simulation, self, index) for index in range(count)]
         for node in self.nodes:
@@ -84,24 +97,32 @@
             node.start_process()
 
     def record_chosen(self, index: int, slot: int, value: bytes) -> None:
+        """Records the value that a voter learned as chosen in a slot.
+
+        Raises InvariantError if another value was chosen in this slot, or the voter already learned the value
+        of this slot or a higher one.
+        """
         if self.chosen_values.setdefault(slot, value) != value:
             raise InvariantError(
-                f"number {slot} is {self.chosen_values[slot]!r} and, at voter {index}, {value!r}"
+                f"slot number {slot} has {self.chosen_values[slot]!r} and, at voter {index}, {value!r}"
             )
         if slot <= self.latest_slots.get(index, 0):
-            raise InvariantError(f"voter {index} went back from {self.latest_slots[index]} to {slot}")
+            raise InvariantError(f"voter {index} went back from slot {self.latest_slots[index]} to {slot}")
         self.latest_slots[index] = slot
 
     def is_approved(self, index: int, value: bytes) -> bool:
+        """Whether a voter approves a proposed value; the simulation of zones replaces this method."""
         return True
 
     def propose(self, index: int) -> None:
+        """Lets a voter propose a new value, unless its process is paused or does not run."""
         self.proposal_count += 1
         node = self.nodes[index]
         if node.machine is not None and not node.paused:
             node.voter.propose(b"plan %d" % self.proposal_count)
 
     def kill(self, index: int, keep_state: bool) -> None:
+        """Kills a voter's process, and deletes its stored state unless `keep_state`."""
         node = self.nodes[index]
         node.kill()
         self.latest_slots.pop(index, None)
@@ -109,17 +130,18 @@
             node.stored_state = None
 
     def start(self, index: int) -> None:
+        """Starts a voter's process if none runs."""
         if self.nodes[index].machine is None:
             self.nodes[index].start_process()
 
-    # -- troubles ----------------------------------------------------------------------------------
+    # -- faults ------------------------------------------------------------------------------------
 
     def inject_fault(self) -> None:
-        """One, drawn."""
+        """Injects one randomly drawn fault, of up to 6 s except for the repeated restarts of 'flap'."""
         rng, simulation = self.rng, self.simulation
         kind = rng.choice(FAULT_KINDS)
         length = rng.randrange(100 * MS, 6 * SECOND)
-        one = rng.randrange(self.voter_count)
+        target = rng.randrange(self.voter_count)
         if kind in ("cut", "loss", "slow"):
             link = {
                 "cut": Link(cut=True),
@@ -129,29 +151,32 @@
                 ),
             }[kind]
             for other in range(self.voter_count):
-                for pair in ((one, other), (other, one)):
+                for pair in ((target, other), (other, target)):
                     if kind != "cut" or rng.random() < 0.6:
                         key = f"v{pair[0]}", f"v{pair[1]}"
                         simulation.set_link(*key, link)
                         simulation.call_later(length, simulation.set_link, *key, None)
         elif kind == "stop":
-            self.nodes[one].pause()
-            simulation.call_later(length, self.nodes[one].resume)
+            self.nodes[target].pause()
+            simulation.call_later(length, self.nodes[target].resume)
         elif kind == "forget_all":
             for index in range(self.voter_count):
                 self.kill(index, False)
                 simulation.call_later(rng.randrange(SECOND), self.start, index)
         elif kind == "flap":
-            # Twenty times in a minute is one each 3 s.
+            # One restart each 3 s, as of a voter that restarts 20 times in a minute.
             for turn in range(4):
-                simulation.call_later(turn * 3 * SECOND, self.kill, one, rng.random() < 0.5)
-                simulation.call_later(turn * 3 * SECOND + rng.randrange(SECOND), self.start, one)
+                simulation.call_later(turn * 3 * SECOND, self.kill, target, rng.random() < 0.5)
+                simulation.call_later(turn * 3 * SECOND + rng.randrange(SECOND), self.start, target)
         else:
-            self.kill(one, kind == "crash")
-            simulation.call_later(length, self.start, one)
+            self.kill(target, kind == "crash")
+            simulation.call_later(length, self.start, target)
 
     def run(self) -> VoterCluster:
-        """Raises BrokenError."""
+        """Runs random faults and proposals, then waits until all voters know the same value.
+
+        Raises InvariantError if an invariant is violated or the voters do not agree in time.
+        """
         simulation, rng = self.simulation, self.rng
         while simulation.now < FAULTS_UNTIL:
             simulation.run(simulation.now + rng.randrange(400 * MS))
@@ -160,33 +185,37 @@
                     self.propose(index)
             if rng.random() < 0.1:
                 self.inject_fault()
-        # The longest trouble that was drawn ends by itself.
+        # All faults have ended by then, also the longest.
         simulation.run(FAULTS_UNTIL + 14 * SECOND)
         for index in range(self.voter_count):
             self.start(index)
-        over = simulation.now
+        faults_end = simulation.now
         self.propose(0)
         while len({(node.voter.chosen_slot, node.voter.chosen_value) for node in self.nodes}) > 1 or (
             self.nodes[0].voter._requested is not None
         ):
-            if simulation.now > over + AGREEMENT_TIMEOUT:
-                told = [(node.voter.chosen_slot, node.voter.floor) for node in self.nodes]
+            if simulation.now > faults_end + AGREEMENT_TIMEOUT:
+                known = [(node.voter.chosen_slot, node.voter.floor) for node in self.nodes]
                 raise InvariantError(
-                    f"{AGREEMENT_TIMEOUT // SECOND} s after the last fault voters hold {told}"
+                    f"{AGREEMENT_TIMEOUT // SECOND} s after the last fault voters know {known}"
                 )
             simulation.run(simulation.now + 100 * MS)
             if (
                 len(self.chosen_values)
-                and simulation.now - over > 5 * SECOND
+                and simulation.now - faults_end > 5 * SECOND
                 and self.nodes[0].voter._requested is None
             ):
-                # Whoever missed the word hears of it with the next number.
+                # A voter that missed the chosen value learns it with the next slot.
                 self.propose(0)
-        self.agreement_time = simulation.now - over
+        self.agreement_time = simulation.now - faults_end
         return self
 
 
 def run_seed(count: int, seed: int, voter_type: type[Voter] = Voter) -> dict[str, Any]:
+    """Simulates the voters of one seed and returns its figures.
+
+    After a failure the result has, besides the seed, the violated invariant under `broken`.
+    """
     try:
         cluster = VoterCluster(count, seed, voter_type).run()
     except InvariantError as why:
@@ -199,47 +228,57 @@
     }
 
 
-# -- every order of a few messages -----------------------------------------------------------------
+# -- exploration of all orders of events -----------------------------------------------------------
 
 
 class ConstantRandom:
-    """Chance that never varies: waits don't matter where every order is played."""
+    """A random generator that returns 0: delays do not matter where all orders are explored."""
 
     def randrange(self, *_: int) -> int:
+        """Returns 0."""
         return 0
 
     def getrandbits(self, _bits: int) -> int:
+        """Returns 0."""
         return 0
 
 
 class ExplorationHost(NamedTuple):
-    """One voter's host in an exploration; what it does is written down."""
+    """The host of one voter in an exploration; it records in a state what the voter does."""
 
     index: int
     state: ExplorationState
 
     def send(self, index: int, data: bytes) -> None:
+        """Adds a datagram to the messages that may be delivered."""
         self.state.sent.add((index, data))
 
     def set_timer(self, _delay: int, token: int) -> None:
+        """Ignores the delay: each timer that the voter has may expire at any time."""
         pass
 
     def persist(self, stored_state: bytes) -> None:
+        """Stores what the voter needs after a restart."""
         self.state.stored_states[self.index] = stored_state
 
     def approves(self, value: bytes) -> bool:
+        """Returns True: each voter may vote for any value."""
         return True
 
     def chosen(self, slot: int, value: bytes) -> None:
+        """Records the chosen value of a slot. Raises InvariantError if another one was chosen before."""
         if self.state.chosen_values.setdefault(slot, value) != value:
-            raise InvariantError(f"number {slot} is {self.state.chosen_values[slot]!r} and {value!r}")
+            raise InvariantError(f"slot number {slot} has {self.state.chosen_values[slot]!r} and {value!r}")
 
 
 class ExplorationState:
-    """One state: voters, messages ever sent, memories, what was held. A message stays where it is, so it may
-    come late, again, behind others, or never."""
+    """One state of the exploration: voters, all messages ever sent, stored states, and chosen values.
+
+    Messages are never removed, so each may be delivered late, repeatedly, out of order, or not at all.
+    """
 
     def __init__(self, voter_type: type[Voter], crashes: int) -> None:
+        """Creates the initial state of three voters, of which voter 2 may crash `crashes` times."""
         self.voter_type = voter_type
         self.sent: set[tuple[int, bytes]] = set()
         self.stored_states: list[bytes | None] = [None, None, None]
@@ -247,7 +286,7 @@
         self.crashes = crashes
         self.voters = [self._voter(index, index + 1) for index in range(3)]
         for voter in self.voters:
-            voter.floor = 0  # as after a first start that all saw
+            voter.floor = 0  # as after the first start, when all voters have exchanged their status
 
     def _voter(self, index: int, instance_id: int) -> Voter:
         voter = self.voter_type(ExplorationHost(index, self), index, 3, 0, self.stored_states[index])
@@ -255,6 +294,7 @@
         return voter
 
     def copy(self) -> ExplorationState:
+        """Returns an independent copy, whose voters have hosts of their own."""
         new = copy.copy(self)
         new.sent, new.stored_states = set(self.sent), list(self.stored_states)
         new.chosen_values = dict(self.chosen_values)
@@ -272,6 +312,7 @@
         return new
 
     def key(self) -> tuple[Any, ...]:
+        """Returns a hashable value that is equal for states that behave the same from here on."""
         voters = tuple(
             (
                 v.instance_id,
@@ -298,6 +339,11 @@
         return voters, frozenset(self.sent), tuple(self.stored_states), self.crashes
 
     def events(self) -> list[tuple[str, int, Any]]:
+        """Returns the events that are possible in this state, in a fixed order.
+
+        An event is its kind, the index of its voter, and the delivered data or the name of the expired timer.
+        Rounds are limited to keep the number of states small.
+        """
         events: list[tuple[str, int, Any]] = [("comes", index, data) for index, data in sorted(self.sent)]
         for voter in self.voters:
             if voter._round < 2 and voter._status_round < 4:
@@ -307,6 +353,7 @@
         return events
 
     def apply_event(self, event: str, index: int, data: Any) -> None:
+        """Changes this state by one of its events. Raises InvariantError if that violates an invariant."""
         voter = self.voters[index]
         if event == "comes":
             voter.received(data)
@@ -323,15 +370,18 @@
 def explore(
     depth: int, crashes: int = 1, voter_type: type[Voter] = Voter, max_states: int = 3_000_000
 ) -> tuple[int, list[str]]:
-    """Three voters, two that propose, every order up to so many moves: how many states, and the shortest
-    history that breaks, if one does. Breadth first, so that it is the shortest."""
+    """Explores all orders of up to `depth` events of three voters, of which two propose a value.
+
+    Returns the number of states and, if an invariant is violated, the events that lead to it. The search is
+    breadth-first, so that this history is a shortest one. Raises MemoryError above `max_states` states.
+    """
     first = ExplorationState(voter_type, crashes)
     for index in (0, 1):
         first.voters[index].propose(b"plan of %d" % index)
     level: list[tuple[ExplorationState, tuple[str, ...]]] = [(first, ())]
     seen = {first.key()}
     for _ in range(depth):
-        following = []
+        next_level = []
         for state, history in level:
             for event, index, data in state.events():
                 new = state.copy()
@@ -343,8 +393,8 @@
                 key = new.key()
                 if key not in seen:
                     seen.add(key)
-                    following.append((new, (*history, step)))
-        level = following
+                    next_level.append((new, (*history, step)))
+        level = next_level
         if len(seen) > max_states:
             raise MemoryError(f"over {max_states} states at depth {_ + 1}")
     return len(seen), []
--- a/cedarledge/model/zones.py
+++ b/cedarledge/model/zones.py
@@ -1,7 +1,8 @@
-"""Zones, their traffic and the relays that follow plans, in virtual time, with the voters that take them.
+"""Simulation of zone failover: the traffic of zones, relays that follow plans, and voters that choose them.
 
-Boxes, clients and relays are numbers here: what a zone can do, how many tunnels of whose clients it holds,
-and what relays tell of it, a little late and a little wrong. Voters and planners are the machines themselves.
+Backends, clients and relays are figures: the capacity of a zone, the number of connections from each zone's
+clients that it carries, and the relays' reports, which are slightly delayed and inaccurate. The voters and
+planners are the real state machines.
 """
 
 from __future__ import annotations
@@ -27,24 +28,27 @@
 from cedarledge.terms import MS, SECOND
 
 FAULT_KINDS = ("dead", "boxes_dead", "cut", "cut_one_way", "slow", "flaps", "liar", "voters_lost")
+# Intervals at which the traffic is computed, and at which each voter checks whether a new plan is due.
 TICK, PLAN_INTERVAL = 100 * MS, 250 * MS
 FIRST_FAULT_AT, CONNECTION_LIFETIME_S = 10 * SECOND, 8.0
-# Once the faults are over all follow one plan, in which every zone is open, within this. A zone that came
-# and went is away for as long as its planner lets it at most.
+# All relays must follow one plan in which all zones are open within this time after the last fault. The
+# planner delays the return of an unstable zone by MAX_RETURN_DELAY at most.
 AGREEMENT_TIMEOUT = MAX_RETURN_DELAY + 60 * SECOND
 
 
 class Fault(NamedTuple):
+    """A fault of one kind in a zone from `start` to `end`, ns. `zone` is an index."""
+
     kind: str
     start: int
     end: int
     zone: int
-    slowdown: float = 4.0  # how many times slower
-    period: int = 0
+    slowdown: float = 4.0  # of the kind "slow": divides the zone's capacity
+    period: int = 0  # of the kind "flaps": the zone is dead in the first half of each period, ns
 
 
 class Fleet:
-    """`zones` zones of two regions, `relays` in each; the first `voters` relays, zone by zone, vote."""
+    """A simulated fleet in several zones of two regions, whose traffic follows the chosen plans."""
 
     def __init__(
         self,
@@ -56,6 +60,11 @@
         load: float = 0.5,
         planner_type: type[Planner] = Planner,
     ) -> None:
+        """Creates `zones` zones with `relays` relays each, and schedules the faults.
+
+        The voters are spread over the zones in turn. `load` is the demand without faults as a share of the
+        capacity.
+        """
         self.rng = random.Random(seed * 53 + 11)
         self.cluster = VoterCluster(voters, seed)
         self.simulation = self.cluster.simulation
@@ -66,14 +75,14 @@
         self.load = load
         self.faults = faults
         self.planners = [planner_type(self.regions) for _ in range(voters)]
-        # Tunnels by whose clients they are and where they stand.
-        self.connections = {(one, other): 0.0 for one in self.names for other in self.names}
+        # Open connections by the zone of their relays and the zone of their backends. 60 connections load a
+        # healthy backend fully.
+        self.connections = {(source, target): 0.0 for source in self.names for target in self.names}
         for name in self.names:
             self.connections[name, name] = 60 * self.backends[name] * load
         self.plans: dict[int, Plan] = {}
-        self.followed_plans = dict.fromkeys(
-            self.names, 0
-        )  # the number of the plan that a zone's relays follow
+        # Slot of the plan that a zone's relays follow, by zone; 0 before the first one.
+        self.followed_plans = dict.fromkeys(self.names, 0)
         self.history: list[tuple[float, int, str]] = []
         self.refused = self.overload = self.crossing = 0.0
         self.direction_changes = dict.fromkeys(self.names, 0)
@@ -90,7 +99,7 @@
                     self.simulation.call_at(fault.start, self.cluster.kill, voter, False)
                     self.simulation.call_at(fault.end, self._restart_voter, voter)
 
-    # -- troubles ----------------------------------------------------------------------------------
+    # -- faults ------------------------------------------------------------------------------------
 
     def _active_fault(self, kind: str, zone: str) -> Fault | None:
         now = self.simulation.now
@@ -100,6 +109,7 @@
         return None
 
     def is_dead(self, zone: str) -> bool:
+        """Whether the zone's backends do not run at present."""
         flaps = self._active_fault("flaps", zone)
         if flaps is not None and (self.simulation.now - flaps.start) % flaps.period < flaps.period // 2:
             return True
@@ -108,48 +118,52 @@
         )
 
     def capacity(self, zone: str) -> float:
+        """Returns the zone's present capacity in healthy backends."""
         slow = self._active_fault("slow", zone)
         return self.backends[zone] / (slow.slowdown if slow is not None else 1.0)
 
-    def can_reach(self, one: str, other: str) -> bool:
-        """Whether relays in one zone get setups through to boxes in another."""
-        if self.is_dead(other):
+    def can_reach(self, source: str, target: str) -> bool:
+        """Whether relays of the zone `source` can open connections to backends of the zone `target`."""
+        if self.is_dead(target):
             return False
-        if one == other:
+        if source == target:
             return True
         cut = (
-            self._active_fault("cut", one)
-            or self._active_fault("cut", other)
-            or self._active_fault("cut_one_way", one)
+            self._active_fault("cut", source)
+            or self._active_fault("cut", target)
+            or self._active_fault("cut_one_way", source)
         )
         return cut is None
 
-    def reports_reach(self, one: str, other: str) -> bool:
-        """Whether what relays of one zone tell comes to those of the other."""
-        if self._active_fault("dead", one) or self._active_fault("dead", other):
+    def reports_reach(self, source: str, target: str) -> bool:
+        """Whether reports and plans of relays of the zone `source` arrive at relays of the zone `target`."""
+        if self._active_fault("dead", source) or self._active_fault("dead", target):
             return False
         cut = (
-            self._active_fault("cut", one)
-            or self._active_fault("cut", other)
-            or self._active_fault("cut_one_way", one)
+            self._active_fault("cut", source)
+            or self._active_fault("cut", target)
+            or self._active_fault("cut_one_way", source)
         )
-        return one == other or cut is None
+        return source == target or cut is None
 
     def _restart_voter(self, voter: int) -> None:
         self.cluster.start(voter)
         self.planners[voter] = type(self.planners[voter])(self.regions)
 
-    # -- what goes on ------------------------------------------------------------------------------
+    # -- traffic and plans -------------------------------------------------------------------------
 
     def traffic_shares(self, zone: str) -> dict[str, float]:
-        """Where newcomers of this zone go, by the plan that its relays follow and what they see."""
+        """Returns the shares of this zone's new connections that go to each zone.
+
+        They follow from the plan that the zone's relays follow and from the zones that they cannot reach.
+        """
         failing = [other for other in self.names if not self.can_reach(zone, other)]
         plan = self.plans.get(self.followed_plans[zone])
         if plan is not None:
             shares = routing_weights(plan, zone, failing)
             if shares:
                 return shares
-        # As each relay alone today: the own zone, else all that it reaches.
+        # Without a usable plan, a relay routes to its own zone, or else to all zones that it reaches.
         if zone not in failing:
             return {zone: 1.0}
         open_to = [other for other in self.names if other not in failing]
@@ -157,60 +171,66 @@
         return {other: self.backends[other] / total for other in open_to}
 
     def demand(self, zone: str) -> float:
-        """Tunnels that clients want through this zone's relays. Those of a zone whose relays are dead come to
-        the others."""
-        there = [other for other in self.names if self._active_fault("dead", other) is None]
-        if zone not in there:
+        """Returns the number of connections that clients want through this zone's relays.
+
+        Clients of zones whose relays are dead are spread evenly over the other zones.
+        """
+        live_zones = [other for other in self.names if self._active_fault("dead", other) is None]
+        if zone not in live_zones:
             return 0.0
-        lost = sum(60 * self.backends[other] * self.load for other in self.names if other not in there)
-        return 60 * self.backends[zone] * self.load + lost / len(there)
+        lost = sum(60 * self.backends[other] * self.load for other in self.names if other not in live_zones)
+        return 60 * self.backends[zone] * self.load + lost / len(live_zones)
 
     def _tick(self) -> None:
         self.simulation.call_later(TICK, self._tick)
-        part = TICK / SECOND / CONNECTION_LIFETIME_S
+        closed_share = TICK / SECOND / CONNECTION_LIFETIME_S
         loads = {zone: self.load_of(zone) for zone in self.names}
         for zone in self.names:
-            whole = self.demand(zone)
-            there = 0.0
-            for other in self.names:
-                key = zone, other
-                self.connections[key] = 0.0 if self.is_dead(other) else self.connections[key] * (1 - part)
-                there += self.connections[key]
-            for other, share in self.traffic_shares(zone).items():
-                self.connections[zone, other] += max(0.0, whole - there) * share
+            wanted = self.demand(zone)
+            open_total = 0.0
+            for target in self.names:
+                key = zone, target
+                self.connections[key] = (
+                    0.0 if self.is_dead(target) else self.connections[key] * (1 - closed_share)
+                )
+                open_total += self.connections[key]
+            for target, share in self.traffic_shares(zone).items():
+                self.connections[zone, target] += max(0.0, wanted - open_total) * share
             if self.simulation.now >= FIRST_FAULT_AT:
                 self.overload += max(0.0, loads[zone] - 1.0) * self.backends[zone] * TICK / SECOND
         if self.simulation.now % SECOND == 0:
             self.reports = self._make_reports()
 
     def load_of(self, zone: str) -> float:
-        return sum(self.connections[one, zone] for one in self.names) / 60 / self.capacity(zone)
+        """Returns the load of the zone's backends; 1 is its present capacity."""
+        return sum(self.connections[source, zone] for source in self.names) / 60 / self.capacity(zone)
 
     def _make_reports(self) -> dict[str, list[RelayReport]]:
-        """What relays of each zone say, from now on for a second."""
+        """Returns the reports of each zone's relays, which are in use for the following second."""
         reports: dict[str, list[RelayReport]] = {}
         for zone in self.names:
             reports[zone] = []
             for index in range(self.relays):
                 liar = self._active_fault("liar", zone) if index == 0 else None
-                sights = {}
+                observations = {}
                 for other in self.names:
-                    reach = self.can_reach(zone, other)
+                    reachable = self.can_reach(zone, other)
                     load = self.load_of(other) * (0.95 + 0.1 * self.rng.random())
                     if liar is not None:
-                        load, reach = 9.9, False
-                    sights[other] = ZoneObservation(
-                        int(self.backends[other]) if reach else 0,
-                        load if reach else 0.0,
-                        0.0 if reach else 1.0,
+                        load, reachable = 9.9, False
+                    observations[other] = ZoneObservation(
+                        int(self.backends[other]) if reachable else 0,
+                        load if reachable else 0.0,
+                        0.0 if reachable else 1.0,
                         round(self.connections[zone, other] / self.relays),
                         SECOND,
                     )
                 total = sum(self.connections[zone, other] for other in self.names)
-                reports[zone].append(RelayReport(zone, round(total / self.relays), sights))
+                reports[zone].append(RelayReport(zone, round(total / self.relays), observations))
         return reports
 
     def zone_of(self, voter: int) -> str:
+        """Returns the zone in which a voter runs."""
         return self.names[voter % len(self.names)]
 
     def _reports_for(self, voter: int) -> list[RelayReport]:
@@ -233,7 +253,7 @@
             return
         plan = self.planners[voter].propose_change(self.simulation.now, self._reports_for(voter))
         if plan is None:
-            # What was seen a while ago must not be taken once a cut heals.
+            # A proposal based on old observations must not be chosen when a partition heals.
             node.voter.withdraw()
         else:
             node.voter.propose(msgspec.msgpack.encode(plan))
@@ -247,8 +267,8 @@
             self.check_plan(plan, before)
             self.history.append((self.simulation.now / SECOND, slot, plan.reason))
             for row in plan.zones:
-                was = before.state(row.zone) if before is not None else State.OPEN
-                self.direction_changes[row.zone] += (was in (State.CLOSED, State.LIMITED)) != (
+                old_state = before.state(row.zone) if before is not None else State.OPEN
+                self.direction_changes[row.zone] += (old_state in (State.CLOSED, State.LIMITED)) != (
                     row.state in (State.CLOSED, State.LIMITED)
                 )
                 if self.decision_time is None and row.state is not State.OPEN:
@@ -261,53 +281,61 @@
                 self.simulation.call_later(self.rng.randrange(300 * MS), self._follow_plan, zone, slot)
 
     def _follow_plan(self, zone: str, slot: int) -> None:
-        # A delayed old one that comes after a newer one changes nothing.
+        # An older plan that arrives late, after a newer one, is ignored.
         self.followed_plans[zone] = max(self.followed_plans[zone], slot)
 
     def check_plan(self, plan: Plan, before: Plan | None) -> None:
-        """What must hold of every plan. Raises BrokenError."""
+        """Checks what must hold for every chosen plan. Raises InvariantError."""
         names = [row.zone for row in plan.zones]
         if all(row.state is State.CLOSED for row in plan.zones):
-            raise InvariantError("a plan closes all")
+            raise InvariantError("a plan closes all zones")
         for row in plan.zones:
             if sum(row.shares) + row.rejected != 100 or min(*row.shares, row.rejected) < 0:
-                raise InvariantError(f"{row.zone}: {row.shares} and {row.rejected} are no whole")
+                raise InvariantError(
+                    f"{row.zone}: shares {row.shares} and rejected {row.rejected} are no parts of 100"
+                )
             for other, share in zip(names, row.shares, strict=True):
                 if share and plan.state(other) is State.CLOSED:
-                    raise InvariantError(f"{other} is closed and has {share} of {row.zone}")
-                # What it had of others before may stand until their own have room again.
+                    raise InvariantError(f"{other} is closed and gets {share} of {row.zone}")
+                # Only an open zone takes other zones' traffic. Connections that it already has from them may
+                # stay until their own zones have capacity again.
                 if share and other != row.zone and plan.state(other) is not State.OPEN:
-                    raise InvariantError(f"{other} is {plan.state(other).name} and has {share} of {row.zone}")
-        for place, zone in enumerate(names):
-            planned = sum(self.demand(row.zone) * row.shares[place] / 100 for row in plan.zones) / 60
-            # Of its own it may have all that stays with it; of others' no more than leaves the headroom.
-            foreign = planned - self.demand(zone) / 60 * plan.zones[place].shares[place] / 100
+                    raise InvariantError(
+                        f"{other} is {plan.state(other).name} and gets {share} of {row.zone}"
+                    )
+        for index, zone in enumerate(names):
+            planned = sum(self.demand(row.zone) * row.shares[index] / 100 for row in plan.zones) / 60
+            # A zone may keep all of its own traffic, but takes other zones' traffic only within the headroom.
+            foreign = planned - self.demand(zone) / 60 * plan.zones[index].shares[index] / 100
             if foreign > 0.01 and planned > self.backends[zone] * (1 - HEADROOM) * 1.12:
                 raise InvariantError(
-                    f"{zone} is planned over its room: {planned:.1f} of {self.backends[zone]:.0f} boxes"
+                    f"{zone} is planned above capacity: {planned:.1f} of {self.backends[zone]:.0f} backends"
                 )
 
     def run(self) -> Fleet:
-        """Raises BrokenError."""
-        over = max((fault.end for fault in self.faults), default=FIRST_FAULT_AT)
-        self.simulation.run(over)
+        """Runs all faults, then waits until all relays follow one plan in which all zones are open.
+
+        Raises InvariantError if an invariant is violated or that takes longer than AGREEMENT_TIMEOUT.
+        """
+        faults_end = max((fault.end for fault in self.faults), default=FIRST_FAULT_AT)
+        self.simulation.run(faults_end)
         while True:
             self.simulation.run(self.simulation.now + SECOND)
             plan = self.plans.get(max(self.plans, default=0))
-            settled = plan is None or all(row.state is State.OPEN for row in plan.zones)
-            if settled and len(set(self.followed_plans.values())) == 1:
+            all_open = plan is None or all(row.state is State.OPEN for row in plan.zones)
+            if all_open and len(set(self.followed_plans.values())) == 1:
                 break
-            if self.simulation.now > over + AGREEMENT_TIMEOUT:
+            if self.simulation.now > faults_end + AGREEMENT_TIMEOUT:
                 raise InvariantError(
-                    f"{AGREEMENT_TIMEOUT // SECOND} s after the last fault {self.followed_plans}, "
-                    f"{plan and plan.reason}"
+                    f"{AGREEMENT_TIMEOUT // SECOND} s after the last fault relays follow "
+                    f"{self.followed_plans}, {plan and plan.reason}"
                 )
-        self.agreement_time = (self.simulation.now - over) / SECOND
+        self.agreement_time = (self.simulation.now - faults_end) / SECOND
         return self
 
 
 def draw_faults(zones: int, seed: int, kinds: Sequence[str] = FAULT_KINDS) -> tuple[Fault, ...]:
-    """One or two, by seed alone; never of one zone at once."""
+    """Draws one or two faults, each in a zone of its own; they depend on the arguments alone."""
     rng = random.Random(seed * 17 + 5)
     faults = []
     for zone in rng.sample(range(zones), rng.randint(1, min(2, zones - 2) if zones > 3 else 1)):
@@ -329,6 +357,11 @@
 def run_seed(
     zones: int, relays: int, voters: int, seed: int, planner_type: type[Planner] = Planner
 ) -> dict[str, Any]:
+    """Simulates the zones of one seed and returns its figures.
+
+    After a failure the result has, besides the seed, the violated invariant under `broken` and the faults
+    under `history`.
+    """
     faults = draw_faults(zones, seed)
     load = random.Random(seed).choice((0.3, 0.5, 0.6, 0.75))
     try:
