--- a/cedarledge/model/zones.py
+++ b/cedarledge/model/zones.py
@@ -292,7 +292,8 @@
         for row in plan.zones:
             if sum(row.shares) + row.rejected != 100 or min(*row.shares, row.rejected) < 0:
                 raise InvariantError(
-                    f"{row.zone}: shares {row.shares} and rejected {row.rejected} are no parts of 100"
+                    f"{row.zone}: shares {row.shares} and rejected {row.rejected} are negative or do not "
+                    "add up to 100"
                 )
             for other, share in zip(names, row.shares, strict=True):
                 if share and plan.state(other) is State.CLOSED:
