--- a/cedarledge/scale/assumptions.py
+++ b/cedarledge/scale/assumptions.py
@@ -26,7 +26,7 @@
 # One probe with its answer, and one call of the list that brings nothing new.
 PROBE_BYTES, LIST_CALL_BYTES = 60, 200
 # What a relay exports: series, bytes of each, and how often.
-METRIC_SERIES, METRIC_BYTES, METRIC_EVERY_SECONDS = 200, 16, 15
+METRIC_SERIES, METRIC_BYTES, METRIC_INTERVAL_SECONDS = 200, 16, 15
 METRIC_MEMORY_BYTES = 2_000_000
 # One member's record with all its fields: about six go into a datagram.
 RECORD_BYTES = 200
--- a/cedarledge/scale/candidates.py
+++ b/cedarledge/scale/candidates.py
@@ -5,7 +5,7 @@
 from cedarledge.peers.machine import MAX_MEMBERS
 from cedarledge.scale import assumptions, target
 from cedarledge.scale.figures import Slopes, arithmetic
-from cedarledge.scale.mechanisms import MEMBERSHIP_FILES, MISSING
+from cedarledge.scale.mechanisms import MEMBERSHIP_FILES, NOT_IMPLEMENTED
 from cedarledge.scale.own_load import own_load
 from cedarledge.scale.page import Table
 
@@ -23,13 +23,13 @@
     rows = (
         (
             "numbered configuration in force within 4 s",
-            MISSING,
+            NOT_IMPLEMENTED,
             "s until all hold a record of membership, the nearest carrier, over 4 s",
             in_force,
         ),
         (
             "numbered configuration: the same, a minute after all relays started at once",
-            MISSING,
+            NOT_IMPLEMENTED,
             "s until all hold the record, over 4 s",
             slopes.at("hollow", "change_known_all", relays).times(1 / target.CONFIG_IN_FORCE_SECONDS),
         ),
@@ -71,20 +71,20 @@
         ),
         (
             "assignment of 64,000 shards",
-            MISSING,
+            NOT_IMPLEMENTED,
             "s of all control bytes for one whole table",
             arithmetic(whole_table),
         ),
         (
             "fan-out of the largest topic",
-            MISSING,
+            NOT_IMPLEMENTED,
             "lines from backends, over one a relay",
             arithmetic(target.LARGEST_TOPIC_LISTENERS / relays),
         ),
-        ("subsets of backends", MISSING, "s between looks of a relay at each of 1,000", probing),
+        ("subsets of backends", NOT_IMPLEMENTED, "s between looks of a relay at each of 1,000", probing),
         (
             "paced return after a zone",
-            MISSING,
+            NOT_IMPLEMENTED,
             "core seconds a relay for what returns",
             load.open_ms.times(returned / 1000),
         ),
--- a/cedarledge/scale/capacity.py
+++ b/cedarledge/scale/capacity.py
@@ -45,7 +45,7 @@
         ("relays a zone", arithmetic(target.RELAYS_PER_ZONE)),
         (
             "seconds between changes of configuration",
-            arithmetic(target.SECONDS_A_DAY / target.CONFIG_CHANGES_PER_DAY),
+            arithmetic(target.SECONDS_PER_DAY / target.CONFIG_CHANGES_PER_DAY),
         ),
     )
     return Table(
--- a/cedarledge/scale/command.py
+++ b/cedarledge/scale/command.py
@@ -115,18 +115,18 @@
     Exit code 1 where page and slopes disagree, with a line for each row.
     """
     from cedarledge.scale.capacity import tables
-    from cedarledge.scale.page import differences, rewritten
-    from cedarledge.scale.slopes import SlopesError, read_runs
+    from cedarledge.scale.page import differences, replace_tables
+    from cedarledge.scale.slopes import RunRecordError, read_runs
 
     path = Path(page)
     try:
         computed = tables(read_runs(Path(folder)))
         text = path.read_text(encoding="utf-8")
-    except (SlopesError, OSError) as error:
+    except (RunRecordError, OSError) as error:
         click.echo(f"cedarledge: {error}", err=True)
         sys.exit(UNUSABLE)
     if write:
-        text = rewritten(text, computed)
+        text = replace_tables(text, computed)
         path.write_text(text, encoding="utf-8")
     found = differences(text, computed)
     for difference in found:
--- a/cedarledge/scale/control_budget.py
+++ b/cedarledge/scale/control_budget.py
@@ -5,17 +5,17 @@
 from typing import NamedTuple
 
 from cedarledge.scale import assumptions, target
-from cedarledge.scale.figures import NOT_RUN, Basis, Figure, Slopes, arithmetic, number
-from cedarledge.scale.mechanisms import MEMBERSHIP_FILES, MISSING, PROBE_FILES, VOTE_FILES
+from cedarledge.scale.figures import NOT_RUN, Basis, Figure, Slopes, arithmetic, formatted
+from cedarledge.scale.mechanisms import MEMBERSHIP_FILES, NOT_IMPLEMENTED, PROBE_FILES, VOTE_FILES
 from cedarledge.scale.page import Table
 
 MEGABYTE = 1e6
-MS_OF_A_CORE_PER_PERCENT = 10.0
+CORE_MS_PER_PERCENT = 10.0
 # The size at which hollow relays are corrected by real ones: the largest compared.
-COMPARED = 32
+COMPARISON_SIZE = 32
 
 
-class Part(NamedTuple):
+class BudgetPart(NamedTuple):
     """What one part of control needs of a relay."""
 
     name: str
@@ -25,7 +25,7 @@
     bytes_per_second: Figure
 
 
-def control_parts(slopes: Slopes) -> tuple[Part, ...]:
+def control_parts(slopes: Slopes) -> tuple[BudgetPart, ...]:
     """Each part at the target's size; what no code carries is arithmetic."""
     return (
         membership_part(slopes),
@@ -39,25 +39,25 @@
 
 
 def _percent(milliseconds: Figure) -> Figure:
-    return milliseconds.times(1 / MS_OF_A_CORE_PER_PERCENT)
+    return milliseconds.times(1 / CORE_MS_PER_PERCENT)
 
 
 def message_ms(slopes: Slopes) -> Figure:
     """Processor time of one datagram sent or received, by the model."""
     processor = slopes.at("membership", "processor_ms_per_second", target.RELAYS)
     messages = slopes.at("membership", "messages_per_second", target.RELAYS)
-    if processor.missing or messages.missing or not messages.value:
+    if processor.is_missing or messages.is_missing or not messages.value:
         return Figure(0.0, Basis.NONE)
     return processor._replace(value=processor.value / (2 * messages.value))
 
 
-def membership_part(slopes: Slopes) -> Part:
+def membership_part(slopes: Slopes) -> BudgetPart:
     """Bytes by the model, processor time by hollow relays on sockets, memory by one view."""
     payload = slopes.at("membership", "bytes_per_second", target.RELAYS)
     headers = slopes.at("membership", "messages_per_second", target.RELAYS).times(
         assumptions.DATAGRAM_HEADER_BYTES
     )
-    return Part(
+    return BudgetPart(
         "membership",
         MEMBERSHIP_FILES,
         _percent(slopes.at("hollow_spread", "processor_ms_per_second", target.RELAYS)),
@@ -66,22 +66,24 @@
     )
 
 
-def _health(slopes: Slopes) -> Part:
+def _health(slopes: Slopes) -> BudgetPart:
     """What a real relay takes over a hollow one: probes and list calls on sockets, and the rest of it."""
-    real = slopes.at("compare_real", "processor_ms_per_second", COMPARED)
-    hollow = slopes.at("compare_hollow", "processor_ms_per_second", COMPARED)
+    real = slopes.at("compare_real", "processor_ms_per_second", COMPARISON_SIZE)
+    hollow = slopes.at("compare_hollow", "processor_ms_per_second", COMPARISON_SIZE)
     over = real.plus(hollow)._replace(value=max(0.0, real.value - hollow.value))
     probes = arithmetic(assumptions.PROBES_WITH_CLIENTS_PER_SECOND * assumptions.PROBE_BYTES)
-    calls = slopes.at("compare_real", "list_calls_per_second", COMPARED).times(assumptions.LIST_CALL_BYTES)
+    calls = slopes.at("compare_real", "list_calls_per_second", COMPARISON_SIZE).times(
+        assumptions.LIST_CALL_BYTES
+    )
     table = arithmetic(assumptions.BACKENDS * assumptions.SHARD_ENTRY_BYTES / MEGABYTE)
-    return Part("health and probes", PROBE_FILES, _percent(over), table, probes.plus(calls))
+    return BudgetPart("health and probes", PROBE_FILES, _percent(over), table, probes.plus(calls))
 
 
-def _configuration(slopes: Slopes) -> Part:
-    per_second = target.CONFIG_CHANGES_PER_DAY / target.SECONDS_A_DAY
+def _configuration(slopes: Slopes) -> BudgetPart:
+    per_second = target.CONFIG_CHANGES_PER_DAY / target.SECONDS_PER_DAY
     handled = _percent(message_ms(slopes).times(2 * per_second))
     held = arithmetic(2 * assumptions.CONFIG_BYTES / MEGABYTE)
-    return Part("configuration", MISSING, handled, held, arithmetic(config_peak()))
+    return BudgetPart("configuration", NOT_IMPLEMENTED, handled, held, arithmetic(config_peak()))
 
 
 def config_peak() -> float:
@@ -89,44 +91,48 @@
     return assumptions.CONFIG_CHANGE_BYTES / target.CONFIG_IN_FORCE_SECONDS
 
 
-def _assignment(slopes: Slopes) -> Part:
+def _assignment(slopes: Slopes) -> BudgetPart:
     events = target.MACHINE_FAILURES_PER_DAY + target.RESTARTS_PER_DAY
-    changed = 2 * events * target.SHARDS_PER_RELAY * assumptions.SHARD_ROW_BYTES / target.SECONDS_A_DAY
+    changed = 2 * events * target.SHARDS_PER_RELAY * assumptions.SHARD_ROW_BYTES / target.SECONDS_PER_DAY
     leases = assumptions.LEASE_RENEWALS_PER_SECOND * assumptions.LEASE_BYTES
-    return Part(
+    return BudgetPart(
         "shard and topic assignment",
-        MISSING,
+        NOT_IMPLEMENTED,
         _percent(message_ms(slopes).times(2 * assumptions.LEASE_RENEWALS_PER_SECOND)),
         arithmetic(target.SHARDS * assumptions.SHARD_ENTRY_BYTES / MEGABYTE),
         arithmetic(changed + leases),
     )
 
 
-def _failover(slopes: Slopes) -> Part:
-    per_second = target.CONFIG_CHANGES_PER_DAY / target.SECONDS_A_DAY
+def _failover(slopes: Slopes) -> BudgetPart:
+    per_second = target.CONFIG_CHANGES_PER_DAY / target.SECONDS_PER_DAY
     sent = slopes.at("quorum", "bytes", 5).times(per_second)
     spent = _percent(slopes.at("quorum", "processor_ms", 5).times(per_second))
     held = arithmetic(assumptions.SMALL_STATE_BYTES / MEGABYTE)
-    return Part("failover", VOTE_FILES, spent, held, sent)
+    return BudgetPart("failover", VOTE_FILES, spent, held, sent)
 
 
-def _rolling_change(slopes: Slopes) -> Part:
+def _rolling_change(slopes: Slopes) -> BudgetPart:
     """Each relay hears twice of each restart."""
-    heard = 2 * target.RESTARTS_PER_DAY / target.SECONDS_A_DAY
-    return Part(
+    heard = 2 * target.RESTARTS_PER_DAY / target.SECONDS_PER_DAY
+    return BudgetPart(
         "rolling change",
-        MISSING,
+        NOT_IMPLEMENTED,
         _percent(message_ms(slopes).times(2 * heard)),
         arithmetic(assumptions.SMALL_STATE_BYTES / MEGABYTE),
         arithmetic(heard * assumptions.RECORD_BYTES),
     )
 
 
-def _metrics(slopes: Slopes) -> Part:
-    sent = assumptions.METRIC_SERIES * assumptions.METRIC_BYTES / assumptions.METRIC_EVERY_SECONDS
+def _metrics(slopes: Slopes) -> BudgetPart:
+    sent = assumptions.METRIC_SERIES * assumptions.METRIC_BYTES / assumptions.METRIC_INTERVAL_SECONDS
     spent = _percent(message_ms(slopes).times(2 * sent / 1200))
-    return Part(
-        "metrics", MISSING, spent, arithmetic(assumptions.METRIC_MEMORY_BYTES / MEGABYTE), arithmetic(sent)
+    return BudgetPart(
+        "metrics",
+        NOT_IMPLEMENTED,
+        spent,
+        arithmetic(assumptions.METRIC_MEMORY_BYTES / MEGABYTE),
+        arithmetic(sent),
     )
 
 
@@ -141,7 +147,7 @@
             [(part, part.processor_percent) for part in parts],
         ),
         _budget("control-memory", "MB", target.CONTROL_MEMORY_MB, [(part, part.memory_mb) for part in parts]),
-        _with_still_records(
+        _with_unchanged_records_row(
             slopes,
             _budget(
                 "control-bytes",
@@ -154,23 +160,23 @@
     ]
 
 
-def _with_still_records(slopes: Slopes, table: Table, parts: tuple[Part, ...]) -> Table:
+def _with_unchanged_records_row(slopes: Slopes, table: Table, parts: tuple[BudgetPart, ...]) -> Table:
     """One row more: the whole, if members told records that do not change."""
     others = [part.bytes_per_second for part in parts if part.name != "membership"]
     still = slopes.at("membership_still", "bytes_per_second", target.RELAYS)
     total = Figure(0.0, Basis.NONE)
-    if not still.missing and not any(needed.missing for needed in others):
+    if not still.is_missing and not any(needed.is_missing for needed in others):
         total = arithmetic(still.value + sum(needed.value for needed in others))
     row = _budget_row("all, with records that stay", "", total, target.CONTROL_BYTES_PER_SECOND)
     return Table(table.name, table.head, (*table.rows, row))
 
 
-def _budget(name: str, unit: str, budget: float, needs: list[tuple[Part, Figure]]) -> Table:
+def _budget(name: str, unit: str, budget: float, needs: list[tuple[BudgetPart, Figure]]) -> Table:
     rows = [
         _budget_row(part.name, part.carried_by, needed, budget * assumptions.BUDGET_SHARES[part.name] / 100)
         for part, needed in needs
     ]
-    known = [needed for _, needed in needs if not needed.missing]
+    known = [needed for _, needed in needs if not needed.is_missing]
     total = arithmetic(sum(needed.value for needed in known))
     if len(known) < len(needs):
         total = Figure(0.0, Basis.NONE)
@@ -180,5 +186,5 @@
 
 
 def _budget_row(name: str, carried_by: str, needed: Figure, allowed: float) -> tuple[str, ...]:
-    factor = NOT_RUN if needed.missing else number(needed.value / allowed)
-    return name, carried_by, needed.text(), number(allowed), factor, needed.origin()
+    factor = NOT_RUN if needed.is_missing else formatted(needed.value / allowed)
+    return name, carried_by, needed.text(), formatted(allowed), factor, needed.origin()
--- a/cedarledge/scale/figures.py
+++ b/cedarledge/scale/figures.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from cedarledge.scale.slopes import Curve, MeasurementRun, SlopesError
+from cedarledge.scale.slopes import Curve, MeasurementRun, RunRecordError
 
 NOT_RUN = "not run"
 
@@ -37,17 +37,17 @@
         sources = "; ".join(dict.fromkeys(source for source in (self.source, other.source) if source))
         basis = self.basis if self.basis is not Basis.ARITHMETIC else other.basis
         return Figure(
-            self.value + other.value, Basis.NONE if self.missing or other.missing else basis, sources
+            self.value + other.value, Basis.NONE if self.is_missing or other.is_missing else basis, sources
         )
 
     @property
-    def missing(self) -> bool:
+    def is_missing(self) -> bool:
         """Whether no run gave it."""
         return self.basis is Basis.NONE
 
     def text(self) -> str:
         """The value as the page shows it."""
-        return NOT_RUN if self.missing else number(self.value)
+        return NOT_RUN if self.is_missing else formatted(self.value)
 
     def origin(self) -> str:
         """For the column that says where a figure comes from."""
@@ -59,7 +59,7 @@
     return Figure(value, Basis.ARITHMETIC)
 
 
-def number(value: float) -> str:
+def formatted(value: float) -> str:
     """Three significant digits, and commas in what is large."""
     if value == 0:
         return "0"
@@ -79,7 +79,7 @@
         """The curve of a run; None where it was not measured."""
         try:
             return self.runs[run].curve(quantity)
-        except (KeyError, SlopesError):
+        except (KeyError, RunRecordError):
             return None
 
     def at(self, run: str, quantity: str, size: float) -> Figure:
@@ -89,13 +89,13 @@
             return Figure(0.0, Basis.NONE)
         name = f"{run}.{quantity}"
         largest = curve.largest_size()
-        if curve.fit is None or not (curve.fit.is_line and curve.spans_enough()):
+        if curve.fit is None or not (curve.fit.is_line and curve.has_sufficient_sizes()):
             try:
                 return Figure(curve.mean_at(size), Basis.MEASURED, f"{name} at {size:g}")
-            except SlopesError:
+            except RunRecordError:
                 if curve.fit is None:
                     return Figure(0.0, Basis.NONE)
-        reach = f"{name}, run to {largest:g}, reach x {number(size / largest)}"
+        reach = f"{name}, run to {largest:g}, reach x {formatted(size / largest)}"
         if curve.fit.is_line:
             return Figure(curve.fit.value_at(size), Basis.SLOPE, reach)
         return Figure(curve.fit.value_at(size), Basis.EXPONENT, reach)
--- a/cedarledge/scale/fit.py
+++ b/cedarledge/scale/fit.py
@@ -14,14 +14,14 @@
 # and no size is farther from the line through all than the second; both relative to what was measured.
 HOLDOUT_TOLERANCE, RESIDUAL_TOLERANCE = 0.15, 0.5
 BOOTSTRAP_ROUNDS, BOOTSTRAP_SEED = 400, 7
-INTERVAL = (2.5, 97.5)
+INTERVAL_PERCENTILES = (2.5, 97.5)
 # A draw of fewer different sizes says nothing of a slope.
-LEAST_DIFFERENT = 3
+MIN_DISTINCT_SIZES = 3
 SIGNIFICANT_DIGITS = 6
 # Values at or below zero have no logarithm.
-SMALLEST_LOGGED = 1e-12
+LOGARITHM_FLOOR = 1e-12
 # A slope or intercept that adds less than this part of the values is an error of floating-point numbers.
-NEGLIGIBLE = 1e-9
+NEGLIGIBLE_SHARE = 1e-9
 
 
 class Fit(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -59,7 +59,7 @@
 
 def _least_squares(sizes: np.ndarray, values: np.ndarray) -> _Line:
     slope, intercept = np.polyfit(sizes, values, 1)
-    least = NEGLIGIBLE * float(np.abs(values).max())
+    least = NEGLIGIBLE_SHARE * float(np.abs(values).max())
     return _Line(
         float(slope) if abs(slope) * float(np.abs(sizes).max()) > least else 0.0,
         float(intercept) if abs(intercept) > least else 0.0,
@@ -68,7 +68,7 @@
 
 def _power_law(sizes: np.ndarray, values: np.ndarray) -> _Line:
     """Exponent and logarithm of the coefficient."""
-    return _least_squares(np.log(sizes), np.log(np.maximum(values, SMALLEST_LOGGED)))
+    return _least_squares(np.log(sizes), np.log(np.maximum(values, LOGARITHM_FLOOR)))
 
 
 def _holdout_error(sizes: np.ndarray, values: np.ndarray) -> float:
@@ -78,8 +78,8 @@
         return 0.0
     line = _least_squares(sizes[smaller], values[smaller])
     measured = float(values[~smaller].mean())
-    foretold = line.slope * sizes.max() + line.intercept
-    return abs(foretold - measured) / max(abs(measured), SMALLEST_LOGGED)
+    predicted = line.slope * sizes.max() + line.intercept
+    return abs(predicted - measured) / max(abs(measured), LOGARITHM_FLOOR)
 
 
 def _worst_residual(sizes: np.ndarray, values: np.ndarray, line: _Line) -> float:
@@ -88,7 +88,7 @@
     for size in set(sizes):
         measured = float(values[sizes == size].mean())
         on_line = line.slope * size + line.intercept
-        errors.append(abs(on_line - measured) / max(abs(measured), abs(on_line), SMALLEST_LOGGED))
+        errors.append(abs(on_line - measured) / max(abs(measured), abs(on_line), LOGARITHM_FLOOR))
     return max(errors)
 
 
@@ -101,8 +101,8 @@
 
 def _interval(sizes: np.ndarray, values: np.ndarray) -> tuple[float, float]:
     slopes = _slopes(sizes, values)
-    least = NEGLIGIBLE * np.abs(values).max() / np.abs(sizes).max()
-    low, high = np.percentile(np.where(np.abs(slopes) > least, slopes, 0.0), INTERVAL)
+    least = NEGLIGIBLE_SHARE * np.abs(values).max() / np.abs(sizes).max()
+    low, high = np.percentile(np.where(np.abs(slopes) > least, slopes, 0.0), INTERVAL_PERCENTILES)
     return float(low), float(high)
 
 
@@ -111,9 +111,9 @@
     generator = np.random.default_rng(BOOTSTRAP_SEED)
     chosen = generator.integers(0, len(sizes), (BOOTSTRAP_ROUNDS, len(sizes)))
     different = np.array([len(set(row)) for row in sizes[chosen]])
-    chosen = chosen[different >= LEAST_DIFFERENT]
+    chosen = chosen[different >= MIN_DISTINCT_SIZES]
     drawn_sizes, drawn_values = sizes[chosen], values[chosen]
-    logged_values = np.log(np.maximum(drawn_values, SMALLEST_LOGGED))
+    logged_values = np.log(np.maximum(drawn_values, LOGARITHM_FLOOR))
     return _interval(drawn_sizes, drawn_values), _interval(np.log(drawn_sizes), logged_values)
 
 
--- a/cedarledge/scale/mechanisms.py
+++ b/cedarledge/scale/mechanisms.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-MISSING = "**missing**"
+NOT_IMPLEMENTED = "**missing**"
 
 MEMBERSHIP_FILES = "`peers/machine.py`, `peers/shell.py`"
 PROBE_FILES = "`choice.py`, `net/backends.py`, `net/discovery.py`"
-VOTE_FILES = "`failover/votes.py`, `failover/plans.py`; from there to relays " + MISSING
+VOTE_FILES = "`failover/votes.py`, `failover/plans.py`; from there to relays " + NOT_IMPLEMENTED
--- a/cedarledge/scale/page.py
+++ b/cedarledge/scale/page.py
@@ -27,7 +27,7 @@
     def text(self) -> str:
         """The table in Markdown."""
         rule = tuple("---" for _ in self.head)
-        return "".join(_line(cells) + "\n" for cells in (self.head, rule, *self.rows))
+        return "".join(_markdown_row(cells) + "\n" for cells in (self.head, rule, *self.rows))
 
 
 def figure_rows(rows: Sequence[tuple[str, Figure]]) -> tuple[tuple[str, ...], ...]:
@@ -35,11 +35,11 @@
     return tuple((name, figure.text(), figure.origin()) for name, figure in rows)
 
 
-def _line(cells: Sequence[str]) -> str:
+def _markdown_row(cells: Sequence[str]) -> str:
     return "| " + " | ".join(cells) + " |"
 
 
-def rewritten(page: str, tables: Sequence[Table]) -> str:
+def replace_tables(page: str, tables: Sequence[Table]) -> str:
     """The page with its tables as computed."""
     by_name = {table.name: table for table in tables}
 
@@ -55,7 +55,9 @@
 def differences(page: str, tables: Sequence[Table]) -> list[str]:
     """A line for each row that is not as computed, and for tables that only one side has."""
     shown = {match["name"]: match["text"].splitlines() for match in BLOCK.finditer(page)}
-    found = [f"{name}: the page has a table that is not computed" for name in shown.keys() - _names(tables)]
+    found = [
+        f"{name}: the page has a table that is not computed" for name in shown.keys() - _table_names(tables)
+    ]
     for table in tables:
         if table.name not in shown:
             found.append(f"{table.name}: the page lacks this table")
@@ -64,26 +66,28 @@
     return found
 
 
-def _names(tables: Sequence[Table]) -> set[str]:
+def _table_names(tables: Sequence[Table]) -> set[str]:
     return {table.name for table in tables}
 
 
 def _row_differences(table: Table, shown: list[str]) -> list[str]:
     expected = table.text().splitlines()
     found = []
-    by_key = {_key(line): line for line in shown}
+    by_name = {_row_name(line): line for line in shown}
     for line in expected:
-        if by_key.get(_key(line)) != line:
-            on_page = by_key.get(_key(line), "no such row")
-            found.append(f"{table.name}, row {_key(line)!r}: computed {line}, on the page {on_page}")
-    known = {_key(line) for line in expected}
+        if by_name.get(_row_name(line)) != line:
+            on_page = by_name.get(_row_name(line), "no such row")
+            found.append(f"{table.name}, row {_row_name(line)!r}: computed {line}, on the page {on_page}")
+    known = {_row_name(line) for line in expected}
     found += [
-        f"{table.name}, row {_key(line)!r}: on the page alone" for line in shown if _key(line) not in known
+        f"{table.name}, row {_row_name(line)!r}: on the page alone"
+        for line in shown
+        if _row_name(line) not in known
     ]
     if not found and shown != expected:
         found.append(f"{table.name}: rows are in another order, or there twice")
     return found
 
 
-def _key(line: str) -> str:
+def _row_name(line: str) -> str:
     return line.split("|")[1].strip() if line.count("|") > 1 else line
--- a/cedarledge/scale/roles.py
+++ b/cedarledge/scale/roles.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from cedarledge.scale import assumptions, target
-from cedarledge.scale.control_budget import COMPARED, MEGABYTE, config_peak, membership_part
+from cedarledge.scale.control_budget import COMPARISON_SIZE, MEGABYTE, config_peak, membership_part
 from cedarledge.scale.figures import Slopes, arithmetic
-from cedarledge.scale.mechanisms import MEMBERSHIP_FILES, MISSING, PROBE_FILES, VOTE_FILES
+from cedarledge.scale.mechanisms import MEMBERSHIP_FILES, NOT_IMPLEMENTED, PROBE_FILES, VOTE_FILES
 from cedarledge.scale.own_load import own_load
 from cedarledge.scale.page import Table
 
@@ -15,8 +15,8 @@
     load = own_load(slopes)
     relays = target.RELAYS
     probes = slopes.at("probing_relays", "probes_per_backend_second", relays)
-    calls = slopes.at("compare_real", "list_calls_per_second", COMPARED).times(relays)
-    changes = target.CONFIG_CHANGES_PER_DAY * relays / target.SECONDS_A_DAY
+    calls = slopes.at("compare_real", "list_calls_per_second", COMPARISON_SIZE).times(relays)
+    changes = target.CONFIG_CHANGES_PER_DAY * relays / target.SECONDS_PER_DAY
     peak = config_peak() * relays / target.CONTROL_MACHINES
     leases = relays * assumptions.LEASE_RENEWALS_PER_SECOND / target.CONTROL_MACHINES
     rows = (
@@ -45,9 +45,9 @@
             arithmetic(assumptions.BACKENDS / assumptions.PROBES_WITH_CLIENTS_PER_SECOND),
         ),
         ("discovery: calls/s from 460 relays", "`net/discovery.py`", calls),
-        ("control machine: relays told of a change, a second", MISSING, arithmetic(changes)),
-        ("control machine: bytes/s while a change goes out in 4 s", MISSING, arithmetic(peak)),
-        ("control machine: lease renewals/s", MISSING, arithmetic(leases)),
+        ("control machine: relays told of a change, a second", NOT_IMPLEMENTED, arithmetic(changes)),
+        ("control machine: bytes/s while a change goes out in 4 s", NOT_IMPLEMENTED, arithmetic(peak)),
+        ("control machine: lease renewals/s", NOT_IMPLEMENTED, arithmetic(leases)),
         ("control machine: bytes a decision of 5 voters", VOTE_FILES, slopes.at("quorum", "bytes", 5)),
         (
             "rig: 460 hollow relays, cores",
--- a/cedarledge/scale/run_tables.py
+++ b/cedarledge/scale/run_tables.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from cedarledge.scale.figures import NOT_RUN, Slopes, number
+from cedarledge.scale.figures import NOT_RUN, Slopes, formatted
 from cedarledge.scale.page import Table
 from cedarledge.scale.slopes import Curve, MeasurementRun
 
@@ -73,7 +73,7 @@
         "runs",
         ("run", "command", "commit", "sizes played", "wall time, s"),
         tuple(
-            (name, f"`{run.command}`", f"`{run.commit}`", _sizes(run), number(run.wall_seconds))
+            (name, f"`{run.command}`", f"`{run.commit}`", _sizes(run), formatted(run.wall_seconds))
             for name, run in sorted(runs.items())
         ),
     )
@@ -96,16 +96,22 @@
 
 
 def _curve_cells(curve: Curve) -> tuple[str, ...]:
-    fit, largest = curve.fit, number(curve.largest_size())
-    if fit is None or not curve.spans_enough():
+    fit, largest = curve.fit, formatted(curve.largest_size())
+    if fit is None or not curve.has_sufficient_sizes():
         return curve.unit, "no fit, measured: " + _means(curve), "", "", largest
     low, high = (fit.slope_low, fit.slope_high) if fit.is_line else (fit.exponent_low, fit.exponent_high)
     of = "slope" if fit.is_line else "exponent"
-    return curve.unit, fit.formula(), f"{of} {number(low)} to {number(high)}", f"{fit.exponent:.2f}", largest
+    return (
+        curve.unit,
+        fit.formula(),
+        f"{of} {formatted(low)} to {formatted(high)}",
+        f"{fit.exponent:.2f}",
+        largest,
+    )
 
 
 def _means(curve: Curve) -> str:
-    return ", ".join(f"{number(curve.mean_at(row.size))} at {row.size:g}" for row in curve.samples)
+    return ", ".join(f"{formatted(curve.mean_at(row.size))} at {row.size:g}" for row in curve.samples)
 
 
 def comparison_table(slopes: Slopes) -> Table:
@@ -125,19 +131,19 @@
             continue
         for sample in real.samples:
             light = next((row.values for row in hollow.samples if row.size == sample.size), ())
-            rows.append((f"{quantity}, {sample.size:g} relays", *_side_by_side(sample.values, light)))
+            rows.append((f"{quantity}, {sample.size:g} relays", *_comparison_cells(sample.values, light)))
     return Table("comparison", ("quantity", "real", "hollow", "hollow / real"), tuple(rows))
 
 
-def _side_by_side(real: tuple[float, ...], hollow: tuple[float, ...]) -> tuple[str, str, str]:
+def _comparison_cells(real: tuple[float, ...], hollow: tuple[float, ...]) -> tuple[str, str, str]:
     if not real or not hollow:
-        return _span(real), _span(hollow), ""
+        return _mean_and_range(real), _mean_and_range(hollow), ""
     ratio = (sum(hollow) / len(hollow)) / max(sum(real) / len(real), 1e-12)
-    return _span(real), _span(hollow), number(ratio)
+    return _mean_and_range(real), _mean_and_range(hollow), formatted(ratio)
 
 
-def _span(values: tuple[float, ...]) -> str:
+def _mean_and_range(values: tuple[float, ...]) -> str:
     """The mean, and the smallest and largest of few values."""
     if not values:
         return NOT_RUN
-    return f"{number(sum(values) / len(values))} ({number(min(values))} to {number(max(values))})"
+    return f"{formatted(sum(values) / len(values))} ({formatted(min(values))} to {formatted(max(values))})"
--- a/cedarledge/scale/slopes.py
+++ b/cedarledge/scale/slopes.py
@@ -10,10 +10,10 @@
 from cedarledge.scale.fit import Fit, fit, rounded
 
 # What a curve needs before a figure may be taken from it.
-LEAST_SIZES, LEAST_SPAN = 5, 30
+MIN_SIZES, MIN_SIZE_RATIO = 5, 30
 
 
-class SlopesError(Exception):
+class RunRecordError(Exception):
     """A record that can't be used."""
 
 
@@ -36,17 +36,17 @@
         """The largest size that was really run."""
         return max(row.size for row in self.samples)
 
-    def spans_enough(self) -> bool:
+    def has_sufficient_sizes(self) -> bool:
         """Whether sizes are many enough and far enough apart to reckon with the fit."""
         sizes = [row.size for row in self.samples]
-        return len(sizes) >= LEAST_SIZES and max(sizes) >= LEAST_SPAN * min(sizes)
+        return len(sizes) >= MIN_SIZES and max(sizes) >= MIN_SIZE_RATIO * min(sizes)
 
     def mean_at(self, size: float) -> float:
-        """The mean of what was measured at a size. Raises SlopesError where nothing was."""
+        """The mean of what was measured at a size. Raises RunRecordError where nothing was."""
         for row in self.samples:
             if row.size == size:
                 return sum(row.values) / len(row.values)
-        raise SlopesError(f"{self.quantity}: nothing was measured at {size:g}")
+        raise RunRecordError(f"{self.quantity}: nothing was measured at {size:g}")
 
 
 class MeasurementRun(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -61,11 +61,11 @@
     notes: str = ""
 
     def curve(self, quantity: str) -> Curve:
-        """Raises SlopesError."""
+        """Raises RunRecordError."""
         for curve in self.curves:
             if curve.quantity == quantity:
                 return curve
-        raise SlopesError(f"run {self.name!r} has no curve {quantity!r}")
+        raise RunRecordError(f"run {self.name!r} has no curve {quantity!r}")
 
 
 def curve_of(quantity: str, unit: str, measured: Mapping[float, list[float]]) -> Curve:
@@ -92,30 +92,32 @@
 
 
 def read_run(path: Path) -> MeasurementRun:
-    """Reads a record and recomputes its fits. Raises SlopesError if it can't be read or a fit is not that of
-    the samples."""
+    """Reads a record and recomputes its fits.
+
+    Raises RunRecordError if the file can't be read or a stored fit differs from the recomputed one.
+    """
     try:
         run = msgspec.json.decode(path.read_bytes(), type=MeasurementRun)
     except (OSError, msgspec.MsgspecError) as error:
-        raise SlopesError(f"{path}: {error}") from error
+        raise RunRecordError(f"{path}: {error}") from error
     for curve in run.curves:
-        if not _same_fit(curve.fit, _fit_of(curve.samples)):
-            raise SlopesError(f"{path}: the fit of {curve.quantity!r} is not that of its samples")
+        if not _fits_match(curve.fit, _fit_of(curve.samples)):
+            raise RunRecordError(f"{path}: the fit of {curve.quantity!r} is not that of its samples")
     return run
 
 
-def _same_fit(one: Fit | None, other: Fit | None) -> bool:
+def _fits_match(one: Fit | None, other: Fit | None) -> bool:
     """Equal but for the last digits, in which builds of the linear algebra library differ."""
     if one is None or other is None:
         return one is other
-    return all(_close(getattr(one, name), getattr(other, name)) for name in Fit.__struct_fields__)
+    return all(_nearly_equal(getattr(one, name), getattr(other, name)) for name in Fit.__struct_fields__)
 
 
-def _close(one: float, other: float) -> bool:
+def _nearly_equal(one: float, other: float) -> bool:
     return abs(one - other) <= 1e-4 * max(abs(one), abs(other), 1e-6)
 
 
 def read_runs(folder: Path) -> dict[str, MeasurementRun]:
-    """All records of a folder by the name of their run. Raises SlopesError."""
+    """All records of a folder by the name of their run. Raises RunRecordError."""
     runs = [read_run(path) for path in sorted(folder.glob("*.json"))]
     return {run.name: run for run in runs}
--- a/cedarledge/scale/target.py
+++ b/cedarledge/scale/target.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-SECONDS_A_DAY = 86_400
+SECONDS_PER_DAY = 86_400
 
 RELAYS = 460
 CONNECTIONS = 43_000_000
--- a/cedarledge/scale/yearly_events.py
+++ b/cedarledge/scale/yearly_events.py
@@ -23,7 +23,7 @@
         ("machine fails: share of the fleet's relays that notice", arithmetic(1.0)),
         ("machine fails: shards that get another owner", arithmetic(target.SHARDS_PER_RELAY)),
         ("failures and restarts: share of connections moved a day", arithmetic(moved_daily)),
-        ("failures and restarts: s between two", arithmetic(target.SECONDS_A_DAY / 80)),
+        ("failures and restarts: s between two", arithmetic(target.SECONDS_PER_DAY / 80)),
         (
             "rack or switch: connections that come back, 20 relays",
             arithmetic(assumptions.RELAYS_PER_RACK * one),
@@ -31,7 +31,7 @@
         ("zone: connections that come back", arithmetic(zone * one)),
         ("zone: to each relay that is left", arithmetic(returned)),
         ("zone: s to open them at half a core a relay", reopening),
-        ("zone: opens/s a relay meanwhile", _rate(returned, reopening)),
+        ("zone: opens/s a relay meanwhile", _rate_per_second(returned, reopening)),
         ("zone: opens/s a relay within 60 s, paced", arithmetic(returned / 60)),
         ("region cut off: relays that hold the others dead", arithmetic(target.RELAYS / target.REGIONS)),
         ("region cut off: s until they are forgotten", arithmetic(600)),
@@ -40,8 +40,8 @@
             "region back: s of the control bytes that one takes",
             _full_exchange().times(1 / target.CONTROL_BYTES_PER_SECOND),
         ),
-        *_changes(slopes),
-        ("all relays back within a second: share of whole views a minute later", _joined(slopes)),
+        *_record_propagation_rows(slopes),
+        ("all relays back within a second: share of whole views a minute later", _whole_view_share(slopes)),
         ("one bad change a day: relays that follow it before anyone can refuse", arithmetic(target.RELAYS)),
     )
     return Table(
@@ -51,7 +51,7 @@
     )
 
 
-def _changes(slopes: Slopes) -> tuple[tuple[str, Figure], ...]:
+def _record_propagation_rows(slopes: Slopes) -> tuple[tuple[str, Figure], ...]:
     """How long a record of membership, the nearest that there is, takes to be known."""
     names = (("half", "change_known_half"), ("99 in 100", "change_known_99"), ("all", "change_known_all"))
     situations = (
@@ -67,12 +67,12 @@
     )
 
 
-def _joined(slopes: Slopes) -> Figure:
+def _whole_view_share(slopes: Slopes) -> Figure:
     return slopes.at("hollow", "whole_view_share", target.RELAYS)
 
 
-def _rate(count: float, seconds: Figure) -> Figure:
-    if seconds.missing or not seconds.value:
+def _rate_per_second(count: float, seconds: Figure) -> Figure:
+    if seconds.is_missing or not seconds.value:
         return Figure(0.0, Basis.NONE)
     return seconds._replace(value=count / seconds.value)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,7 +17,7 @@
 from cedarledge.scale.figures import Slopes
 from cedarledge.scale.fit import fit
 from cedarledge.scale.scenario import load_scale_scenario, shipped_scenarios
-from cedarledge.scale.slopes import MeasurementRun, SlopesError, curve_of, read_run, write_run
+from cedarledge.scale.slopes import MeasurementRun, RunRecordError, curve_of, read_run, write_run
 
 
 def run_of(*curves) -> MeasurementRun:
@@ -45,9 +45,9 @@
 
 
 def test_a_curve_tells_whether_its_sizes_are_far_enough_apart() -> None:
-    assert curve_of("q", "", {size: [1.0] for size in (8, 16, 64, 128, 256)}).spans_enough()
-    assert not curve_of("q", "", {size: [1.0] for size in (8, 16, 64, 128, 200)}).spans_enough()
-    assert not curve_of("q", "", {size: [1.0] for size in (8, 64, 256)}).spans_enough()
+    assert curve_of("q", "", {size: [1.0] for size in (8, 16, 64, 128, 256)}).has_sufficient_sizes()
+    assert not curve_of("q", "", {size: [1.0] for size in (8, 16, 64, 128, 200)}).has_sufficient_sizes()
+    assert not curve_of("q", "", {size: [1.0] for size in (8, 64, 256)}).has_sufficient_sizes()
 
 
 def test_a_record_is_read_as_it_was_written(tmp_path: Path) -> None:
@@ -61,14 +61,14 @@
     told = msgspec.json.decode(path.read_bytes())
     told["curves"][0]["fit"]["slope"] *= 1.01
     path.write_bytes(msgspec.json.encode(told))
-    with pytest.raises(SlopesError, match="'bytes' is not that of its samples"):
+    with pytest.raises(RunRecordError, match="'bytes' is not that of its samples"):
         read_run(path)
 
 
 def test_a_record_with_an_unknown_field_is_refused(tmp_path: Path) -> None:
     path = write_run(run_of(), tmp_path)
     path.write_bytes(path.read_bytes().replace(b'"notes"', b'"remarks"'))
-    with pytest.raises(SlopesError, match="remarks"):
+    with pytest.raises(RunRecordError, match="remarks"):
         read_run(path)
 
 
