--- a/cedarledge/scale/capacity.py
+++ b/cedarledge/scale/capacity.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md, computed from the committed slopes and the target alone."""
+"""The tables of docs/CAPACITY.md, computed from the committed run records, the target and the assumptions."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from cedarledge.scale.candidates import candidates_table
 from cedarledge.scale.control_budget import control_tables
 from cedarledge.scale.figures import Slopes, arithmetic
-from cedarledge.scale.own_load import own_load_table
+from cedarledge.scale.own_load import machine_load_table
 from cedarledge.scale.page import Table, figure_rows
 from cedarledge.scale.roles import roles_table
 from cedarledge.scale.run_tables import comparison_table, curves_table, runs_table
@@ -17,14 +17,14 @@
 
 
 def tables(runs: Mapping[str, MeasurementRun]) -> list[Table]:
-    """All tables of the page."""
+    """Returns all tables of the page in the order of the page."""
     slopes = Slopes(runs)
     return [
         target_table(),
         runs_table(runs),
         curves_table(slopes),
         comparison_table(slopes),
-        own_load_table(slopes),
+        machine_load_table(slopes),
         *control_tables(slopes),
         roles_table(slopes),
         year_table(slopes),
@@ -33,7 +33,7 @@
 
 
 def target_table() -> Table:
-    """What follows from the target by division alone."""
+    """Returns the table of values per relay that follow from the target alone."""
     rows = (
         ("connections a relay", arithmetic(target.CONNECTIONS_PER_RELAY)),
         ("deliveries a relay and second", arithmetic(target.DELIVERIES_PER_RELAY)),
--- a/cedarledge/scale/control_budget.py
+++ b/cedarledge/scale/control_budget.py
@@ -1,4 +1,4 @@
-"""The control budget of one relay: what each part needs beside what it is allowed."""
+"""The control budget of one relay: the resources that each component needs, compared with its share."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 MEGABYTE = 1e6
 CORE_MS_PER_PERCENT = 10.0
-# The size at which hollow relays are corrected by real ones: the largest compared.
+# The fleet size at which hollow relays are corrected by real ones: the largest size of the comparison run.
 COMPARISON_SIZE = 32
 
 
 class BudgetPart(NamedTuple):
-    """What one part of control needs of a relay."""
+    """The resources that one component of the control plane needs on one relay."""
 
     name: str
-    carried_by: str
+    implemented_in: str
     processor_percent: Figure
     memory_mb: Figure
     bytes_per_second: Figure
 
 
 def control_parts(slopes: Slopes) -> tuple[BudgetPart, ...]:
-    """Each part at the target's size; what no code carries is arithmetic."""
+    """Returns the needs of all components at the target size; those without code are calculated."""
     return (
         membership_part(slopes),
         _health(slopes),
@@ -43,7 +43,10 @@
 
 
 def message_ms(slopes: Slopes) -> Figure:
-    """Processor time of one datagram sent or received, by the model."""
+    """Returns the milliseconds of processor time per datagram sent or received, as measured with the model.
+
+    The factor 2 counts each message at its sender and at its receiver.
+    """
     processor = slopes.at("membership", "processor_ms_per_second", target.RELAYS)
     messages = slopes.at("membership", "messages_per_second", target.RELAYS)
     if processor.is_missing or messages.is_missing or not messages.value:
@@ -52,7 +55,10 @@
 
 
 def membership_part(slopes: Slopes) -> BudgetPart:
-    """Bytes by the model, processor time by hollow relays on sockets, memory by one view."""
+    """Returns the needs of membership.
+
+    Bytes come from the model, processor time from hollow relays on sockets, and memory from a single view.
+    """
     payload = slopes.at("membership", "bytes_per_second", target.RELAYS)
     headers = slopes.at("membership", "messages_per_second", target.RELAYS).times(
         assumptions.DATAGRAM_HEADER_BYTES
@@ -67,28 +73,34 @@
 
 
 def _health(slopes: Slopes) -> BudgetPart:
-    """What a real relay takes over a hollow one: probes and list calls on sockets, and the rest of it."""
+    """Returns the needs of health checks.
+
+    Processor time is the difference between a real relay and a hollow one. It includes probes and list calls
+    on sockets, and all other work that only a real relay does.
+    """
     real = slopes.at("compare_real", "processor_ms_per_second", COMPARISON_SIZE)
     hollow = slopes.at("compare_hollow", "processor_ms_per_second", COMPARISON_SIZE)
-    over = real.plus(hollow)._replace(value=max(0.0, real.value - hollow.value))
+    extra_ms = real.plus(hollow)._replace(value=max(0.0, real.value - hollow.value))
     probes = arithmetic(assumptions.PROBES_WITH_CLIENTS_PER_SECOND * assumptions.PROBE_BYTES)
     calls = slopes.at("compare_real", "list_calls_per_second", COMPARISON_SIZE).times(
         assumptions.LIST_CALL_BYTES
     )
     table = arithmetic(assumptions.BACKENDS * assumptions.SHARD_ENTRY_BYTES / MEGABYTE)
-    return BudgetPart("health and probes", PROBE_FILES, _percent(over), table, probes.plus(calls))
+    return BudgetPart("health and probes", PROBE_FILES, _percent(extra_ms), table, probes.plus(calls))
 
 
 def _configuration(slopes: Slopes) -> BudgetPart:
     per_second = target.CONFIG_CHANGES_PER_DAY / target.SECONDS_PER_DAY
-    handled = _percent(message_ms(slopes).times(2 * per_second))
-    held = arithmetic(2 * assumptions.CONFIG_BYTES / MEGABYTE)
-    return BudgetPart("configuration", NOT_IMPLEMENTED, handled, held, arithmetic(config_peak()))
+    processor = _percent(message_ms(slopes).times(2 * per_second))
+    memory = arithmetic(2 * assumptions.CONFIG_BYTES / MEGABYTE)
+    return BudgetPart(
+        "configuration", NOT_IMPLEMENTED, processor, memory, arithmetic(config_bytes_per_second())
+    )
 
 
-def config_peak() -> float:
-    """Bytes a second at a relay while a change comes in."""
-    return assumptions.CONFIG_CHANGE_BYTES / target.CONFIG_IN_FORCE_SECONDS
+def config_bytes_per_second() -> float:
+    """Returns the bytes per second that a relay receives during a configuration change."""
+    return assumptions.CONFIG_CHANGE_BYTES / target.CONFIG_ROLLOUT_DEADLINE_SECONDS
 
 
 def _assignment(slopes: Slopes) -> BudgetPart:
@@ -106,38 +118,39 @@
 
 def _failover(slopes: Slopes) -> BudgetPart:
     per_second = target.CONFIG_CHANGES_PER_DAY / target.SECONDS_PER_DAY
-    sent = slopes.at("quorum", "bytes", 5).times(per_second)
-    spent = _percent(slopes.at("quorum", "processor_ms", 5).times(per_second))
-    held = arithmetic(assumptions.SMALL_STATE_BYTES / MEGABYTE)
-    return BudgetPart("failover", VOTE_FILES, spent, held, sent)
+    sent_bytes = slopes.at("quorum", "bytes", 5).times(per_second)
+    processor = _percent(slopes.at("quorum", "processor_ms", 5).times(per_second))
+    memory = arithmetic(assumptions.SMALL_STATE_BYTES / MEGABYTE)
+    return BudgetPart("failover", VOTE_FILES, processor, memory, sent_bytes)
 
 
 def _rolling_change(slopes: Slopes) -> BudgetPart:
-    """Each relay hears twice of each restart."""
-    heard = 2 * target.RESTARTS_PER_DAY / target.SECONDS_PER_DAY
+    """Returns the needs of rolling restarts; each relay receives two messages about each restart."""
+    received_messages = 2 * target.RESTARTS_PER_DAY / target.SECONDS_PER_DAY
     return BudgetPart(
         "rolling change",
         NOT_IMPLEMENTED,
-        _percent(message_ms(slopes).times(2 * heard)),
+        _percent(message_ms(slopes).times(2 * received_messages)),
         arithmetic(assumptions.SMALL_STATE_BYTES / MEGABYTE),
-        arithmetic(heard * assumptions.RECORD_BYTES),
+        arithmetic(received_messages * assumptions.RECORD_BYTES),
     )
 
 
 def _metrics(slopes: Slopes) -> BudgetPart:
-    sent = assumptions.METRIC_SERIES * assumptions.METRIC_BYTES / assumptions.METRIC_INTERVAL_SECONDS
-    spent = _percent(message_ms(slopes).times(2 * sent / 1200))
+    """Returns the needs of the metrics export, which is sent in datagrams of 1200 bytes."""
+    sent_bytes = assumptions.METRIC_SERIES * assumptions.METRIC_BYTES / assumptions.METRIC_INTERVAL_SECONDS
+    processor = _percent(message_ms(slopes).times(2 * sent_bytes / 1200))
     return BudgetPart(
         "metrics",
         NOT_IMPLEMENTED,
-        spent,
+        processor,
         arithmetic(assumptions.METRIC_MEMORY_BYTES / MEGABYTE),
-        arithmetic(sent),
+        arithmetic(sent_bytes),
     )
 
 
 def control_tables(slopes: Slopes) -> list[Table]:
-    """Processor time, memory and bytes, each part beside its share."""
+    """Returns the tables of processor time, memory and bytes, with each component's need and share."""
     parts = control_parts(slopes)
     return [
         _budget(
@@ -161,23 +174,23 @@
 
 
 def _with_unchanged_records_row(slopes: Slopes, table: Table, parts: tuple[BudgetPart, ...]) -> Table:
-    """One row more: the whole, if members told records that do not change."""
+    """Adds a row with the total for the case that the membership records of relays do not change."""
     others = [part.bytes_per_second for part in parts if part.name != "membership"]
-    still = slopes.at("membership_still", "bytes_per_second", target.RELAYS)
+    unchanged_records = slopes.at("membership_still", "bytes_per_second", target.RELAYS)
     total = Figure(0.0, Basis.NONE)
-    if not still.is_missing and not any(needed.is_missing for needed in others):
-        total = arithmetic(still.value + sum(needed.value for needed in others))
+    if not unchanged_records.is_missing and not any(need.is_missing for need in others):
+        total = arithmetic(unchanged_records.value + sum(need.value for need in others))
     row = _budget_row("all, with records that stay", "", total, target.CONTROL_BYTES_PER_SECOND)
     return Table(table.name, table.head, (*table.rows, row))
 
 
 def _budget(name: str, unit: str, budget: float, needs: list[tuple[BudgetPart, Figure]]) -> Table:
     rows = [
-        _budget_row(part.name, part.carried_by, needed, budget * assumptions.BUDGET_SHARES[part.name] / 100)
-        for part, needed in needs
+        _budget_row(part.name, part.implemented_in, need, budget * assumptions.BUDGET_SHARES[part.name] / 100)
+        for part, need in needs
     ]
-    known = [needed for _, needed in needs if not needed.is_missing]
-    total = arithmetic(sum(needed.value for needed in known))
+    known = [need for _, need in needs if not need.is_missing]
+    total = arithmetic(sum(need.value for need in known))
     if len(known) < len(needs):
         total = Figure(0.0, Basis.NONE)
     rows.append(_budget_row("all", "", total, budget))
@@ -185,6 +198,6 @@
     return Table(name, head, tuple(rows))
 
 
-def _budget_row(name: str, carried_by: str, needed: Figure, allowed: float) -> tuple[str, ...]:
-    factor = NOT_RUN if needed.is_missing else formatted(needed.value / allowed)
-    return name, carried_by, needed.text(), formatted(allowed), factor, needed.origin()
+def _budget_row(name: str, implemented_in: str, need: Figure, allowed: float) -> tuple[str, ...]:
+    factor = NOT_RUN if need.is_missing else formatted(need.value / allowed)
+    return name, implemented_in, need.text(), formatted(allowed), factor, need.origin()
--- a/cedarledge/scale/figures.py
+++ b/cedarledge/scale/figures.py
@@ -1,4 +1,4 @@
-"""Figures with their source: read off a fitted curve, measured at that very size, or arithmetic alone."""
+"""Figures with their source: estimated from a fitted curve, measured at that size, or calculated."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Basis(StrEnum):
-    """Where a figure comes from."""
+    """How a figure was obtained, in the words of the capacity page."""
 
     SLOPE = "slope"
     EXPONENT = "no line"
@@ -22,18 +22,18 @@
 
 
 class Figure(NamedTuple):
-    """A value and where it comes from."""
+    """A value, how it was obtained, and the run that it is based on."""
 
     value: float
     basis: Basis
     source: str = ""
 
     def times(self, factor: float) -> Figure:
-        """The same figure in another unit, or for so many."""
+        """Returns the figure multiplied by a factor, with the same source."""
         return self._replace(value=self.value * factor)
 
     def plus(self, other: Figure) -> Figure:
-        """The sum, with the sources of both."""
+        """Returns the sum, with the sources of both; it is missing if either figure is."""
         sources = "; ".join(dict.fromkeys(source for source in (self.source, other.source) if source))
         basis = self.basis if self.basis is not Basis.ARITHMETIC else other.basis
         return Figure(
@@ -42,25 +42,25 @@
 
     @property
     def is_missing(self) -> bool:
-        """Whether no run gave it."""
+        """Whether the run that the figure needs is not available."""
         return self.basis is Basis.NONE
 
     def text(self) -> str:
-        """The value as the page shows it."""
+        """Returns the value as the page shows it."""
         return NOT_RUN if self.is_missing else formatted(self.value)
 
     def origin(self) -> str:
-        """For the column that says where a figure comes from."""
+        """Returns the text of the table column that gives the source of a figure."""
         return f"{self.basis}: {self.source}" if self.source else str(self.basis)
 
 
 def arithmetic(value: float) -> Figure:
-    """A figure that no run stands behind."""
+    """Returns a figure that is calculated without a measurement run."""
     return Figure(value, Basis.ARITHMETIC)
 
 
 def formatted(value: float) -> str:
-    """Three significant digits, and commas in what is large."""
+    """Formats a number with three significant digits, and with commas from 1,000 on."""
     if value == 0:
         return "0"
     rounded = float(f"{value:.3g}")
@@ -70,20 +70,25 @@
 
 
 class Slopes:
-    """The committed runs, asked for figures at a size."""
+    """Looks up figures at a size in the committed measurement runs."""
 
     def __init__(self, runs: Mapping[str, MeasurementRun]) -> None:
+        """Uses the given run records, by run name."""
         self.runs = runs
 
     def curve(self, run: str, quantity: str) -> Curve | None:
-        """The curve of a run; None where it was not measured."""
+        """Returns a curve of a run, or None if it was not measured."""
         try:
             return self.runs[run].curve(quantity)
         except (KeyError, RunRecordError):
             return None
 
     def at(self, run: str, quantity: str, size: float) -> Figure:
-        """The figure at a size: by the line; where there is none as measured there, else by the exponent."""
+        """Returns the figure at a size, from the first source that is available.
+
+        That is the fitted line if the curve is one and has sufficient sizes, then the mean measured at that
+        size, then the fitted line or power law. Without any the figure is missing.
+        """
         curve = self.curve(run, quantity)
         if curve is None:
             return Figure(0.0, Basis.NONE)
@@ -101,14 +106,14 @@
         return Figure(curve.fit.value_at(size), Basis.EXPONENT, reach)
 
     def measured(self, run: str, quantity: str, size: float) -> Figure:
-        """The mean at a size that was run."""
+        """Returns the mean measured at a size. Raises RunRecordError if the curve has no such size."""
         curve = self.curve(run, quantity)
         if curve is None:
             return Figure(0.0, Basis.NONE)
         return Figure(curve.mean_at(size), Basis.MEASURED, f"{run}.{quantity} at {size:g}")
 
     def slope(self, run: str, quantity: str) -> Figure:
-        """What one more of the size adds."""
+        """Returns the increase of the quantity per unit of size."""
         curve = self.curve(run, quantity)
         if curve is None or curve.fit is None:
             return Figure(0.0, Basis.NONE)
--- a/cedarledge/scale/fit.py
+++ b/cedarledge/scale/fit.py
@@ -1,6 +1,6 @@
-"""Least-squares lines and power laws through samples of several sizes, with bootstrap intervals.
+"""Fits least-squares lines and power laws to samples of several sizes, with bootstrap confidence intervals.
 
-The bootstrap draws from a generator with a fixed seed, so the same samples always give the same fit.
+The bootstrap uses a random generator with a fixed seed, so the same samples always give the same fit.
 """
 
 from __future__ import annotations
@@ -10,22 +10,28 @@
 import msgspec
 import numpy as np
 
-# A curve counts as a line if the line through all smaller sizes foretells the largest one within the first,
-# and no size is farther from the line through all than the second; both relative to what was measured.
+# A curve is treated as a line if both errors are within their tolerance, relative to the measured values: the
+# error at the largest size of the line fitted to all smaller sizes, and the largest distance of the mean of a
+# size from the line fitted to all sizes.
 HOLDOUT_TOLERANCE, RESIDUAL_TOLERANCE = 0.15, 0.5
 BOOTSTRAP_ROUNDS, BOOTSTRAP_SEED = 400, 7
 INTERVAL_PERCENTILES = (2.5, 97.5)
-# A draw of fewer different sizes says nothing of a slope.
+# Bootstrap resamples with fewer distinct sizes are discarded, as they do not determine a slope.
 MIN_DISTINCT_SIZES = 3
 SIGNIFICANT_DIGITS = 6
-# Values at or below zero have no logarithm.
+# Smaller values are raised to this one before the logarithm, which is undefined at or below zero.
 LOGARITHM_FLOOR = 1e-12
-# A slope or intercept that adds less than this part of the values is an error of floating-point numbers.
+# A slope or intercept that contributes less than this share of the values is a floating-point error and is
+# set to zero.
 NEGLIGIBLE_SHARE = 1e-9
 
 
 class Fit(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """value = slope x size + intercept where `is_line`, else value = coefficient x size ** exponent."""
+    """A fitted function of the size, stored with the measurement run.
+
+    value = slope x size + intercept where `is_line`, else value = coefficient x size ** exponent. `_low` and
+    `_high` are the ends of the 95% interval.
+    """
 
     slope: float
     slope_low: float
@@ -40,13 +46,13 @@
     is_line: bool
 
     def value_at(self, size: float) -> float:
-        """The figure at a size, by the form that the samples support."""
+        """Returns the fitted value at a size, from the line where `is_line`, else from the power law."""
         if self.is_line:
             return self.slope * size + self.intercept
         return self.coefficient * size**self.exponent
 
     def formula(self) -> str:
-        """The fitted function as text."""
+        """Returns the fitted function as text."""
         if self.is_line:
             return f"{self.slope:.3g} x size {'-' if self.intercept < 0 else '+'} {abs(self.intercept):.3g}"
         return f"no line: {self.coefficient:.3g} x size^{self.exponent:.2f}"
@@ -59,20 +65,20 @@
 
 def _least_squares(sizes: np.ndarray, values: np.ndarray) -> _Line:
     slope, intercept = np.polyfit(sizes, values, 1)
-    least = NEGLIGIBLE_SHARE * float(np.abs(values).max())
+    threshold = NEGLIGIBLE_SHARE * float(np.abs(values).max())
     return _Line(
-        float(slope) if abs(slope) * float(np.abs(sizes).max()) > least else 0.0,
-        float(intercept) if abs(intercept) > least else 0.0,
+        float(slope) if abs(slope) * float(np.abs(sizes).max()) > threshold else 0.0,
+        float(intercept) if abs(intercept) > threshold else 0.0,
     )
 
 
 def _power_law(sizes: np.ndarray, values: np.ndarray) -> _Line:
-    """Exponent and logarithm of the coefficient."""
+    """Fits a line to the logarithms: slope is the exponent, intercept the logarithm of the coefficient."""
     return _least_squares(np.log(sizes), np.log(np.maximum(values, LOGARITHM_FLOOR)))
 
 
 def _holdout_error(sizes: np.ndarray, values: np.ndarray) -> float:
-    """Relative error at the largest size of the line through all smaller ones."""
+    """Returns the relative error, at the largest size, of the line fitted to all smaller sizes."""
     smaller = sizes < sizes.max()
     if len(set(sizes[smaller])) < 2:
         return 0.0
@@ -83,7 +89,7 @@
 
 
 def _worst_residual(sizes: np.ndarray, values: np.ndarray, line: _Line) -> float:
-    """The largest relative distance of a size's mean from the line."""
+    """Returns the largest relative distance between the mean of one size and the line."""
     errors = []
     for size in set(sizes):
         measured = float(values[sizes == size].mean())
@@ -93,41 +99,41 @@
 
 
 def _slopes(sizes: np.ndarray, values: np.ndarray) -> np.ndarray:
-    """The least-squares slope of each row."""
-    off_sizes = sizes - sizes.mean(axis=1, keepdims=True)
-    off_values = values - values.mean(axis=1, keepdims=True)
-    return (off_sizes * off_values).sum(axis=1) / (off_sizes**2).sum(axis=1)
+    """Returns the least-squares slope of each row."""
+    centered_sizes = sizes - sizes.mean(axis=1, keepdims=True)
+    centered_values = values - values.mean(axis=1, keepdims=True)
+    return (centered_sizes * centered_values).sum(axis=1) / (centered_sizes**2).sum(axis=1)
 
 
 def _interval(sizes: np.ndarray, values: np.ndarray) -> tuple[float, float]:
     slopes = _slopes(sizes, values)
-    least = NEGLIGIBLE_SHARE * np.abs(values).max() / np.abs(sizes).max()
-    low, high = np.percentile(np.where(np.abs(slopes) > least, slopes, 0.0), INTERVAL_PERCENTILES)
+    threshold = NEGLIGIBLE_SHARE * np.abs(values).max() / np.abs(sizes).max()
+    low, high = np.percentile(np.where(np.abs(slopes) > threshold, slopes, 0.0), INTERVAL_PERCENTILES)
     return float(low), float(high)
 
 
 def _bootstrap(sizes: np.ndarray, values: np.ndarray) -> tuple[tuple[float, float], tuple[float, float]]:
-    """Intervals of the slope and of the exponent."""
+    """Returns the confidence intervals of the slope and of the exponent."""
     generator = np.random.default_rng(BOOTSTRAP_SEED)
-    chosen = generator.integers(0, len(sizes), (BOOTSTRAP_ROUNDS, len(sizes)))
-    different = np.array([len(set(row)) for row in sizes[chosen]])
-    chosen = chosen[different >= MIN_DISTINCT_SIZES]
-    drawn_sizes, drawn_values = sizes[chosen], values[chosen]
-    logged_values = np.log(np.maximum(drawn_values, LOGARITHM_FLOOR))
-    return _interval(drawn_sizes, drawn_values), _interval(np.log(drawn_sizes), logged_values)
+    sample_indices = generator.integers(0, len(sizes), (BOOTSTRAP_ROUNDS, len(sizes)))
+    distinct_counts = np.array([len(set(row)) for row in sizes[sample_indices]])
+    sample_indices = sample_indices[distinct_counts >= MIN_DISTINCT_SIZES]
+    resampled_sizes, resampled_values = sizes[sample_indices], values[sample_indices]
+    logged_values = np.log(np.maximum(resampled_values, LOGARITHM_FLOOR))
+    return _interval(resampled_sizes, resampled_values), _interval(np.log(resampled_sizes), logged_values)
 
 
 def rounded(value: float) -> float:
-    """To as many digits as are kept in files."""
+    """Rounds to the number of digits that run records store."""
     return float(f"{value:.{SIGNIFICANT_DIGITS}g}")
 
 
 def fit(points: list[tuple[float, float]]) -> Fit:
-    """Fits (size, value) points. Raises ValueError for fewer than three different sizes."""
+    """Fits (size, value) points. Raises ValueError for fewer than three distinct sizes."""
     sizes = np.array([size for size, _ in points], dtype=float)
     values = np.array([value for _, value in points], dtype=float)
     if len(set(sizes)) < 3:
-        raise ValueError(f"a fit needs three sizes or more, got {sorted(set(sizes))}")
+        raise ValueError(f"a fit needs at least three distinct sizes, got {sorted(set(sizes))}")
     line, power = _least_squares(sizes, values), _power_law(sizes, values)
     (slope_low, slope_high), (exponent_low, exponent_high) = _bootstrap(sizes, values)
     error, residual = _holdout_error(sizes, values), _worst_residual(sizes, values, line)
--- a/cedarledge/scale/mechanisms.py
+++ b/cedarledge/scale/mechanisms.py
@@ -1,4 +1,4 @@
-"""Which files carry which mechanism, as the tables of the capacity page name them."""
+"""Text of the table column that names the files that implement a mechanism."""
 
 from __future__ import annotations
 
--- a/cedarledge/scale/page.py
+++ b/cedarledge/scale/page.py
@@ -1,4 +1,4 @@
-"""Tables between markers in a page: written, and compared with what was computed.
+"""Replaces and checks the computed tables of a Markdown page, which are enclosed in markers.
 
 <!-- scale: NAME -->
 | head | ...
@@ -18,20 +18,20 @@
 
 
 class Table(msgspec.Struct, frozen=True):
-    """A table of the page; the first cell of a row names it."""
+    """A computed table of the page; the first cell of a row is the name of that row."""
 
     name: str
     head: tuple[str, ...]
     rows: tuple[tuple[str, ...], ...]
 
     def text(self) -> str:
-        """The table in Markdown."""
+        """Returns the table in Markdown."""
         rule = tuple("---" for _ in self.head)
         return "".join(_markdown_row(cells) + "\n" for cells in (self.head, rule, *self.rows))
 
 
 def figure_rows(rows: Sequence[tuple[str, Figure]]) -> tuple[tuple[str, ...], ...]:
-    """A row for each figure: its name, its value, where it comes from."""
+    """Returns a row for each figure, with its name, its value and its source."""
     return tuple((name, figure.text(), figure.origin()) for name, figure in rows)
 
 
@@ -40,7 +40,7 @@
 
 
 def replace_tables(page: str, tables: Sequence[Table]) -> str:
-    """The page with its tables as computed."""
+    """Returns the page with the content of known tables replaced; other tables stay as they are."""
     by_name = {table.name: table for table in tables}
 
     def replace(match: re.Match[str]) -> str:
@@ -53,14 +53,15 @@
 
 
 def differences(page: str, tables: Sequence[Table]) -> list[str]:
-    """A line for each row that is not as computed, and for tables that only one side has."""
+    """Returns a message for each row that differs and each table that is on one side only."""
     shown = {match["name"]: match["text"].splitlines() for match in BLOCK.finditer(page)}
     found = [
-        f"{name}: the page has a table that is not computed" for name in shown.keys() - _table_names(tables)
+        f"{name}: this table is on the page, but is not computed"
+        for name in shown.keys() - _table_names(tables)
     ]
     for table in tables:
         if table.name not in shown:
-            found.append(f"{table.name}: the page lacks this table")
+            found.append(f"{table.name}: this table is computed, but is not on the page")
         else:
             found += _row_differences(table, shown[table.name])
     return found
@@ -80,12 +81,12 @@
             found.append(f"{table.name}, row {_row_name(line)!r}: computed {line}, on the page {on_page}")
     known = {_row_name(line) for line in expected}
     found += [
-        f"{table.name}, row {_row_name(line)!r}: on the page alone"
+        f"{table.name}, row {_row_name(line)!r}: on the page, but not computed"
         for line in shown
         if _row_name(line) not in known
     ]
     if not found and shown != expected:
-        found.append(f"{table.name}: rows are in another order, or there twice")
+        found.append(f"{table.name}: the page has the rows in another order or has duplicate rows")
     return found
 
 
--- a/cedarledge/scale/roles.py
+++ b/cedarledge/scale/roles.py
@@ -1,23 +1,28 @@
-"""What each role of the fleet holds, says and spends."""
+"""Memory, messages and processor time of each role of the fleet."""
 
 from __future__ import annotations
 
 from cedarledge.scale import assumptions, target
-from cedarledge.scale.control_budget import COMPARISON_SIZE, MEGABYTE, config_peak, membership_part
+from cedarledge.scale.control_budget import (
+    COMPARISON_SIZE,
+    MEGABYTE,
+    config_bytes_per_second,
+    membership_part,
+)
 from cedarledge.scale.figures import Slopes, arithmetic
 from cedarledge.scale.mechanisms import MEMBERSHIP_FILES, NOT_IMPLEMENTED, PROBE_FILES, VOTE_FILES
-from cedarledge.scale.own_load import own_load
+from cedarledge.scale.own_load import machine_load
 from cedarledge.scale.page import Table
 
 
 def roles_table(slopes: Slopes) -> Table:
-    """A row for each thing that a role holds, says or spends."""
-    load = own_load(slopes)
+    """Returns the table with a row for each resource that a role uses."""
+    load = machine_load(slopes)
     relays = target.RELAYS
     probes = slopes.at("probing_relays", "probes_per_backend_second", relays)
     calls = slopes.at("compare_real", "list_calls_per_second", COMPARISON_SIZE).times(relays)
     changes = target.CONFIG_CHANGES_PER_DAY * relays / target.SECONDS_PER_DAY
-    peak = config_peak() * relays / target.CONTROL_MACHINES
+    peak = config_bytes_per_second() * relays / target.CONTROL_MACHINES
     leases = relays * assumptions.LEASE_RENEWALS_PER_SECOND / target.CONTROL_MACHINES
     rows = (
         ("relay: connections, MB", "`net/clients.py`, `net/tunnels.py`", load.memory.times(1 / MEGABYTE)),
@@ -65,5 +70,5 @@
     return Table(
         "roles",
         ("role", "carried by", "figure", "basis"),
-        tuple((name, carried, figure.text(), figure.origin()) for name, carried, figure in rows),
+        tuple((name, files, figure.text(), figure.origin()) for name, files, figure in rows),
     )
--- a/cedarledge/scale/run_tables.py
+++ b/cedarledge/scale/run_tables.py
@@ -1,4 +1,7 @@
-"""Tables of the measurement runs: how each was made, what was fitted, and hollow beside real relays."""
+"""Tables of the measurement runs: how each was made, its fits, and hollow relays compared with real ones.
+
+A hollow relay runs the real membership and policy code without clients; one process runs many of them.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 from cedarledge.scale.page import Table
 from cedarledge.scale.slopes import Curve, MeasurementRun
 
-# The curves that figures are taken from; the page shows the fit of each.
+# Curves that figures are based on; the page shows the fit of each.
 SHOWN_CURVES = (
     ("membership", "bytes_per_second"),
     ("membership", "messages_per_second"),
@@ -68,7 +71,7 @@
 
 
 def runs_table(runs: Mapping[str, MeasurementRun]) -> Table:
-    """Command, commit and sizes of each run."""
+    """Returns the table of the command, commit, sizes and wall time of each run."""
     return Table(
         "runs",
         ("run", "command", "commit", "sizes played", "wall time, s"),
@@ -85,7 +88,7 @@
 
 
 def curves_table(slopes: Slopes) -> Table:
-    """The fit of each curve that figures are taken from."""
+    """Returns the table of the fits of SHOWN_CURVES."""
     rows = []
     for run, quantity in SHOWN_CURVES:
         curve = slopes.curve(run, quantity)
@@ -100,11 +103,11 @@
     if fit is None or not curve.has_sufficient_sizes():
         return curve.unit, "no fit, measured: " + _means(curve), "", "", largest
     low, high = (fit.slope_low, fit.slope_high) if fit.is_line else (fit.exponent_low, fit.exponent_high)
-    of = "slope" if fit.is_line else "exponent"
+    interval_of = "slope" if fit.is_line else "exponent"
     return (
         curve.unit,
         fit.formula(),
-        f"{of} {formatted(low)} to {formatted(high)}",
+        f"{interval_of} {formatted(low)} to {formatted(high)}",
         f"{fit.exponent:.2f}",
         largest,
     )
@@ -115,7 +118,7 @@
 
 
 def comparison_table(slopes: Slopes) -> Table:
-    """Real and hollow relays side by side, at each size that both were run at."""
+    """Returns the table that compares real and hollow relays at each size at which real relays were run."""
     quantities = (
         "messages_per_second",
         "bytes_per_second",
@@ -130,8 +133,10 @@
             rows.append((quantity, NOT_RUN, "", ""))
             continue
         for sample in real.samples:
-            light = next((row.values for row in hollow.samples if row.size == sample.size), ())
-            rows.append((f"{quantity}, {sample.size:g} relays", *_comparison_cells(sample.values, light)))
+            hollow_values = next((row.values for row in hollow.samples if row.size == sample.size), ())
+            rows.append(
+                (f"{quantity}, {sample.size:g} relays", *_comparison_cells(sample.values, hollow_values))
+            )
     return Table("comparison", ("quantity", "real", "hollow", "hollow / real"), tuple(rows))
 
 
@@ -143,7 +148,7 @@
 
 
 def _mean_and_range(values: tuple[float, ...]) -> str:
-    """The mean, and the smallest and largest of few values."""
+    """Formats the mean, minimum and maximum of a few values."""
     if not values:
         return NOT_RUN
     return f"{formatted(sum(values) / len(values))} ({formatted(min(values))} to {formatted(max(values))})"
--- a/cedarledge/scale/target.py
+++ b/cedarledge/scale/target.py
@@ -1,5 +1,7 @@
-"""The fleet that is planned for, and the yearly events that it has to bear. Plain figures from the operators;
-what follows from them alone is computed here."""
+"""The target of capacity planning: the size of the fleet and the failures and changes that it must handle.
+
+The values come from the operators; values that follow from them alone are computed here.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +17,9 @@
 ZONES = 7
 
 CONFIG_CHANGES_PER_DAY = 600
-CONFIG_IN_FORCE_SECONDS = 4.0
+CONFIG_ROLLOUT_DEADLINE_SECONDS = 4.0
 
-# The control budget of one relay, and the machines set aside for control.
+# Resources that the control plane may use on one relay, and the number of machines dedicated to control.
 CONTROL_CORE_PERCENT = 3.3
 CONTROL_MEMORY_MB = 256.0
 CONTROL_BYTES_PER_SECOND = 4_000.0
