--- a/cedarledge/scale/page.py
+++ b/cedarledge/scale/page.py
@@ -53,7 +53,7 @@
 
 
 def differences(page: str, tables: Sequence[Table]) -> list[str]:
-    """Returns a message for each row that differs and each table that is on one side only."""
+    """Returns a message per row that differs, and per table that is only on the page or only computed."""
     shown = {match["name"]: match["text"].splitlines() for match in BLOCK.finditer(page)}
     found = [
         f"{name}: this table is on the page, but is not computed"
