--- a/cedarledge/model/command.py
+++ b/cedarledge/model/command.py
@@ -41,7 +41,7 @@
     except ValueError:
         seeds = []
     if not seeds:
-        raise click.BadParameter(f"{text!r} is not a range of seeds like 1-8")
+        raise click.BadParameter(f"{text!r} is no span of seeds like 1-8")
     return seeds
 
 
